--- a/src/cornellever/accounts/configuration_lease.hpp
+++ b/src/cornellever/accounts/configuration_lease.hpp
@@ -22,7 +22,7 @@
     explicit configuration_lease(std::optional<std::chrono::milliseconds> bound = std::nullopt) : m_bound{bound} {}
 
     /// The copy at hand, or an older one, was the newest at `at`.
-    void prove(time_point at) { m_proven_at = std::max(m_proven_at, at); }
+    void confirm_current(time_point at) { m_proven_at = std::max(m_proven_at, at); }
 
     /// Whether the copy may be relied on at `now`.
     [[nodiscard]] bool holds(time_point now) const {
@@ -32,7 +32,7 @@
     /// How long ago the copy was the newest.
     [[nodiscard]] std::chrono::nanoseconds age(time_point now) const { return now - m_proven_at; }
 
-    [[nodiscard]] bool proven() const noexcept { return m_proven_at != time_point{}; }
+    [[nodiscard]] bool ever_confirmed() const noexcept { return m_proven_at != time_point{}; }
 
 private:
     /// Clocks that run at different rates, ages that were rounded, and the way of
--- a/src/cornellever/accounts/directory.cpp
+++ b/src/cornellever/accounts/directory.cpp
@@ -20,7 +20,7 @@
     }
 }
 
-const account* directory::holder(const key_digest& key) const {
+const account* directory::find_by_key(const key_digest& key) const {
     const auto found = m_keys.find(key);
     return found == m_keys.end() ? nullptr : find(found->second);
 }
--- a/src/cornellever/accounts/directory.hpp
+++ b/src/cornellever/accounts/directory.hpp
@@ -43,7 +43,7 @@
     void add_key(const key_digest& key, std::string_view name);
 
     /// The account that a key stands for; null when it stands for none.
-    [[nodiscard]] const account* holder(const key_digest& key) const;
+    [[nodiscard]] const account* find_by_key(const key_digest& key) const;
 
     /// The account of that name; null when there is none.
     [[nodiscard]] const account* find(std::string_view name) const;
--- a/src/cornellever/accounts/fwd.hpp
+++ b/src/cornellever/accounts/fwd.hpp
@@ -5,7 +5,7 @@
 struct account;
 class configuration_lease;
 class directory;
-class gate;
+class authorizer;
 class key_digest;
 struct rate_limit;
 
--- a/src/cornellever/accounts/gate.hpp
+++ b/src/cornellever/accounts/gate.hpp
@@ -31,7 +31,7 @@
 
 /// Says whose a request is and whether it may run. Asked when a session opens,
 /// and again immediately before each statement is sent to a server.
-class gate {
+class authorizer {
 public:
     using time_point = boot_clock::time_point;
 
@@ -47,17 +47,17 @@
         }
     };
 
-    explicit gate(configuration_lease lease = configuration_lease{}) : m_lease{lease} {}
+    explicit authorizer(configuration_lease lease = configuration_lease{}) : m_lease{lease} {}
 
-    void take(directory accounts) { m_accounts = std::move(accounts); }
-    void prove(time_point at) { m_lease.prove(at); }
+    void set_accounts(directory accounts) { m_accounts = std::move(accounts); }
+    void confirm_current(time_point at) { m_lease.confirm_current(at); }
 
     /// `keyless` is whether the database is open to everybody.
     [[nodiscard]] decision ask(bool keyless, const key_digest& key, time_point now) const {
         if (keyless) {
             return {};
         }
-        const auto* who = m_accounts.holder(key);
+        const auto* who = m_accounts.find_by_key(key);
         if (who == nullptr) {
             return {permission::unknown_key, nullptr};
         }
--- a/src/cornellever/limits/fwd.hpp
+++ b/src/cornellever/limits/fwd.hpp
@@ -2,11 +2,11 @@
 
 namespace cornellever::limits {
 
-class grant_desk;
+class limit_coordinator;
 class token_bucket;
-class udp_grants;
-struct grant_answer;
-struct grant_question;
+class udp_grant_channel;
+struct grant_response;
+struct grant_request;
 struct limit_bound;
 struct limit_share;
 
--- a/src/cornellever/limits/grant_desk.cpp
+++ b/src/cornellever/limits/grant_desk.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void grant_desk::set_proxies(std::vector<std::string> names, time_point now, bool complete) {
+void limit_coordinator::set_proxies(std::vector<std::string> names, time_point now, bool complete) {
     if (m_complete) {
         m_former.push_back({std::move(m_proxies), now});
     } else {
@@ -35,22 +35,23 @@
     }
 }
 
-std::vector<std::string> grant_desk::coordinators(std::string_view account, const accounts::rate_limit& limit) const {
+std::vector<std::string> limit_coordinator::coordinators(std::string_view account,
+                                                         const accounts::rate_limit& limit) const {
     return coordinators_among(m_proxies, account, limit, m_bound);
 }
 
-bool grant_desk::chosen_among(std::span<const std::string> proxies, const accounts::account& who) const {
+bool limit_coordinator::chosen_among(std::span<const std::string> proxies, const accounts::account& who) const {
     const auto chosen = coordinators_among(proxies, who.name, *who.limit, m_bound);
     return std::ranges::find(chosen, m_self) != chosen.end();
 }
 
-limit_share grant_desk::share_now(const accounts::account& who) const {
+limit_share limit_coordinator::share_now(const accounts::account& who) const {
     return share_of(*who.limit, m_bound, coordinators_of(*who.limit, m_bound, m_proxies.size()));
 }
 
 /// Since when this proxy holds a share alone. Where another one held it lately,
 /// that one may not know yet that it is not its own any more.
-grant_desk::time_point grant_desk::holds_since(const accounts::account& who) const {
+limit_coordinator::time_point limit_coordinator::holds_since(const accounts::account& who) const {
     auto out = m_known_at;
     if (m_forgotten_until != time_point{}) {
         out = std::max(out, m_forgotten_until + takeover);
@@ -65,14 +66,14 @@
 
 /// The bucket of a share as if it had been there since the share was held: that
 /// nobody asked for it before makes it no emptier.
-token_bucket grant_desk::bucket_for(const accounts::account& who) const {
+token_bucket limit_coordinator::bucket_for(const accounts::account& who) const {
     const auto share = share_now(who);
     const auto since = holds_since(who);
     const bool untouched = m_first_start && since == m_known_at;
     return {share, untouched ? share.capacity : share.at_start, since};
 }
 
-grant_desk::share_here& grant_desk::share_for(const accounts::account& who, time_point now) {
+limit_coordinator::share_here& limit_coordinator::share_for(const accounts::account& who, time_point now) {
     auto found = m_shares.find(who.name);
     const bool known = found != m_shares.end();
     if (known && found->second.generation == m_generation && found->second.limit == *who.limit) {
@@ -89,16 +90,17 @@
     return m_shares.insert_or_assign(who.name, std::move(made)).first->second;
 }
 
-grant_answer grant_desk::ask(std::string_view account, const accounts::gate& gate, time_point now) {
-    const auto* who = gate.accounts().find(account);
+grant_response limit_coordinator::ask(std::string_view account, const accounts::authorizer& authorizer,
+                                      time_point now) {
+    const auto* who = authorizer.accounts().find(account);
     // Without a lease on its configuration this proxy may be one whom the others
     // have replaced long since, or know an older limit.
-    if (who == nullptr || !who->limit || !m_complete || !gate.lease().holds(now)) {
-        return {.outcome = grant_outcome::not_mine};
+    if (who == nullptr || !who->limit || !m_complete || !authorizer.lease().holds(now)) {
+        return {.outcome = grant_outcome::not_coordinator};
     }
     auto& share = share_for(*who, now);
     if (!share.mine) {
-        return {.outcome = grant_outcome::not_mine};
+        return {.outcome = grant_outcome::not_coordinator};
     }
     if (share.bucket.take(now)) {
         return {.outcome = grant_outcome::granted};
--- a/src/cornellever/limits/grant_desk.hpp
+++ b/src/cornellever/limits/grant_desk.hpp
@@ -21,12 +21,12 @@
 /// to each other, so that the sum stays within the limit whoever is cut off from
 /// whom. What can go over it is only a share held twice, by proxies that do not
 /// agree on who else there is; so one that takes another's place waits first.
-class grant_desk {
+class limit_coordinator {
 public:
     using time_point = boot_clock::time_point;
 
     /// With `first_start` no process of this deployment granted anything before.
-    grant_desk(std::string self, limit_bound bound, bool first_start = false)
+    limit_coordinator(std::string self, limit_bound bound, bool first_start = false)
         : m_self{std::move(self)}
         , m_bound{bound}
         , m_first_start{first_start} {}
@@ -37,7 +37,7 @@
     void set_proxies(std::vector<std::string> names, time_point now, bool complete = true);
 
     /// Grants one operation of an account, or says why not.
-    [[nodiscard]] grant_answer ask(std::string_view account, const accounts::gate& gate, time_point now);
+    [[nodiscard]] grant_response ask(std::string_view account, const accounts::authorizer& authorizer, time_point now);
 
     /// The proxies that coordinate an account's limit.
     [[nodiscard]] std::vector<std::string> coordinators(std::string_view account,
--- a/src/cornellever/limits/grant_message.hpp
+++ b/src/cornellever/limits/grant_message.hpp
@@ -9,7 +9,7 @@
 namespace cornellever::limits {
 
 /// Asks a coordinator to let one operation of an account run.
-struct grant_question {
+struct grant_request {
     std::uint64_t nonce{0};
     std::string account;
 };
@@ -20,22 +20,22 @@
     used_up,
     /// The proxy that was asked coordinates nothing of this account, or does not
     /// know whether its configuration is current.
-    not_mine,
+    not_coordinator,
 };
 
 /// The answer to the question of that nonce.
-struct grant_answer {
+struct grant_response {
     std::uint64_t nonce{0};
-    grant_outcome outcome{grant_outcome::not_mine};
+    grant_outcome outcome{grant_outcome::not_coordinator};
     /// Of `used_up`: when the share has an operation again.
     std::chrono::milliseconds wait{0};
 };
 
-[[nodiscard]] std::string encode(const grant_question& message);
-[[nodiscard]] std::string encode(const grant_answer& message);
+[[nodiscard]] std::string encode(const grant_request& message);
+[[nodiscard]] std::string encode(const grant_response& message);
 
 /// Nothing when the bytes are not such a message.
-[[nodiscard]] std::optional<grant_question> decode_question(std::string_view bytes);
-[[nodiscard]] std::optional<grant_answer> decode_answer(std::string_view bytes);
+[[nodiscard]] std::optional<grant_request> decode_grant_request(std::string_view bytes);
+[[nodiscard]] std::optional<grant_response> decode_grant_response(std::string_view bytes);
 
 } // namespace cornellever::limits
--- a/src/cornellever/limits/limiter.hpp
+++ b/src/cornellever/limits/limiter.hpp
@@ -17,23 +17,23 @@
 namespace cornellever::limits {
 
 /// Another proxy, as it is asked for grants.
-struct coordinator_place {
+struct coordinator_endpoint {
     std::string name;
     std::string data_center;
     asio::ip::udp::endpoint address;
 
-    friend bool operator==(const coordinator_place&, const coordinator_place&) = default;
+    friend bool operator==(const coordinator_endpoint&, const coordinator_endpoint&) = default;
 };
 
 /// Asks another proxy for a grant; nothing when no answer comes by then.
 template <typename T>
 concept grant_channel = requires(T channel, const asio::ip::udp::endpoint& to, const std::string& account,
                                  boot_clock::time_point until) {
-    { channel.ask(to, account, until) } -> std::same_as<asio::awaitable<std::optional<grant_answer>>>;
+    { channel.ask(to, account, until) } -> std::same_as<asio::awaitable<std::optional<grant_response>>>;
 };
 
 /// Whether an operation may run under its account's limit.
-struct limit_verdict {
+struct admission_result {
     enum class kind {
         granted,
         used_up,
@@ -55,7 +55,7 @@
 public:
     using time_point = boot_clock::time_point;
 
-    limiter(Channel& channel, grant_desk& desk, std::string self, std::string data_center)
+    limiter(Channel& channel, limit_coordinator& desk, std::string self, std::string data_center)
         : m_channel{channel}
         , m_desk{desk}
         , m_self{std::move(self)}
@@ -63,16 +63,17 @@
 
     /// The proxies that there are, this one among them, and whether these are
     /// known to be all.
-    void set_proxies(std::vector<coordinator_place> proxies, bool complete = true);
+    void set_proxies(std::vector<coordinator_endpoint> proxies, bool complete = true);
 
     /// Has one operation of an account granted.
-    asio::awaitable<limit_verdict> admit(std::string account, accounts::rate_limit limit, const accounts::gate& gate);
+    asio::awaitable<admission_result> admit(std::string account, accounts::rate_limit limit,
+                                            const accounts::authorizer& authorizer);
 
 private:
-    [[nodiscard]] std::vector<const coordinator_place*> order_for(std::string_view account,
-                                                                  const accounts::rate_limit& limit, time_point now);
-    asio::awaitable<std::optional<grant_answer>> ask(const coordinator_place& one, const std::string& account,
-                                                     const accounts::gate& gate);
+    [[nodiscard]] std::vector<const coordinator_endpoint*> order_for(std::string_view account,
+                                                                     const accounts::rate_limit& limit, time_point now);
+    asio::awaitable<std::optional<grant_response>> ask(const coordinator_endpoint& one, const std::string& account,
+                                                       const accounts::authorizer& authorizer);
 
     /// Coordinators that may leave a question of one operation unanswered. Those
     /// that answer are asked one after the other: the share of one may be used up
@@ -90,10 +91,10 @@
     static constexpr std::chrono::milliseconds used_up_for{50};
 
     Channel& m_channel;
-    grant_desk& m_desk;
+    limit_coordinator& m_desk;
     std::string m_self;
     std::string m_data_center;
-    std::map<std::string, coordinator_place, std::less<>> m_places;
+    std::map<std::string, coordinator_endpoint, std::less<>> m_places;
     /// Coordinators that did not answer, and when.
     std::map<std::string, time_point, std::less<>> m_doubted;
     /// Accounts whose limit was found used up: until when, and the wait then.
@@ -102,7 +103,7 @@
 };
 
 template <grant_channel Channel>
-void limiter<Channel>::set_proxies(std::vector<coordinator_place> proxies, bool complete) {
+void limiter<Channel>::set_proxies(std::vector<coordinator_endpoint> proxies, bool complete) {
     std::vector<std::string> names;
     m_places.clear();
     for (auto& item : proxies) {
@@ -117,9 +118,9 @@
 /// Those of the same data centre first, each of them in turn, since each holds
 /// an equal share; those that did not answer lately last.
 template <grant_channel Channel>
-std::vector<const coordinator_place*> limiter<Channel>::order_for(std::string_view account,
-                                                                  const accounts::rate_limit& limit, time_point now) {
-    std::vector<const coordinator_place*> out;
+std::vector<const coordinator_endpoint*>
+limiter<Channel>::order_for(std::string_view account, const accounts::rate_limit& limit, time_point now) {
+    std::vector<const coordinator_endpoint*> out;
     for (const auto& name : m_desk.coordinators(account, limit)) {
         const auto found = m_places.find(name);
         if (found != m_places.end()) {
@@ -139,10 +140,11 @@
 }
 
 template <grant_channel Channel>
-asio::awaitable<std::optional<grant_answer>>
-limiter<Channel>::ask(const coordinator_place& one, const std::string& account, const accounts::gate& gate) {
+asio::awaitable<std::optional<grant_response>> limiter<Channel>::ask(const coordinator_endpoint& one,
+                                                                     const std::string& account,
+                                                                     const accounts::authorizer& authorizer) {
     if (one.name == m_self) {
-        co_return m_desk.ask(account, gate, boot_clock::now());
+        co_return m_desk.ask(account, authorizer, boot_clock::now());
     }
     const auto name = one.name;
     if (const auto found = m_doubted.find(name); found != m_doubted.end()) {
@@ -159,39 +161,39 @@
 }
 
 template <grant_channel Channel>
-asio::awaitable<limit_verdict> limiter<Channel>::admit(std::string account, accounts::rate_limit limit,
-                                                       const accounts::gate& gate) {
+asio::awaitable<admission_result> limiter<Channel>::admit(std::string account, accounts::rate_limit limit,
+                                                          const accounts::authorizer& authorizer) {
     const auto now = boot_clock::now();
     if (const auto found = m_used_up.find(account); found != m_used_up.end()) {
         if (now < found->second.first) {
-            co_return limit_verdict{limit_verdict::kind::used_up, found->second.second, 0};
+            co_return admission_result{admission_result::kind::used_up, found->second.second, 0};
         }
         m_used_up.erase(found);
     }
     // Copies: the proxies may change while one of them is asked.
-    std::vector<coordinator_place> order;
+    std::vector<coordinator_endpoint> order;
     for (const auto* item : order_for(account, limit, now)) {
         order.push_back(*item);
     }
-    limit_verdict out{limit_verdict::kind::unknown, answer_limit, 0};
+    admission_result out{admission_result::kind::unknown, answer_limit, 0};
     std::size_t silent = 0;
     for (const auto& one : order) {
         ++out.asked;
-        const auto answer = co_await ask(one, account, gate);
+        const auto answer = co_await ask(one, account, authorizer);
         if (!answer && ++silent == most_silent) {
             break;
         }
-        if (!answer || answer->outcome == grant_outcome::not_mine) {
+        if (!answer || answer->outcome == grant_outcome::not_coordinator) {
             continue;
         }
         if (answer->outcome == grant_outcome::granted) {
-            co_return limit_verdict{limit_verdict::kind::granted, std::chrono::milliseconds{0}, out.asked};
+            co_return admission_result{admission_result::kind::granted, std::chrono::milliseconds{0}, out.asked};
         }
-        const bool first = out.what != limit_verdict::kind::used_up;
-        out.what = limit_verdict::kind::used_up;
+        const bool first = out.what != admission_result::kind::used_up;
+        out.what = admission_result::kind::used_up;
         out.wait = first ? answer->wait : std::min(out.wait, answer->wait);
     }
-    if (out.what == limit_verdict::kind::used_up) {
+    if (out.what == admission_result::kind::used_up) {
         m_used_up.insert_or_assign(std::move(account), std::pair{boot_clock::now() + used_up_for, out.wait});
     }
     co_return out;
--- a/src/cornellever/limits/udp_grants.cpp
+++ b/src/cornellever/limits/udp_grants.cpp
@@ -6,7 +6,7 @@
 
 namespace cornellever::limits {
 
-result<void> udp_grants::start(const asio::ip::udp::endpoint& where) {
+result<void> udp_grant_channel::start(const asio::ip::udp::endpoint& where) {
     boost::system::error_code ec;
     m_socket.open(asio::ip::udp::v4(), ec);
     m_socket.bind(where, ec);
@@ -21,12 +21,12 @@
     return {};
 }
 
-asio::awaitable<std::optional<grant_answer>> udp_grants::ask(asio::ip::udp::endpoint to, std::string account,
-                                                             boot_clock::time_point until) {
+asio::awaitable<std::optional<grant_response>> udp_grant_channel::ask(asio::ip::udp::endpoint to, std::string account,
+                                                                      boot_clock::time_point until) {
     pending mine{asio::steady_timer{m_executor}};
     const auto nonce = ++m_last_nonce;
     m_pending.emplace(nonce, &mine);
-    const auto bytes = encode(grant_question{nonce, std::move(account)});
+    const auto bytes = encode(grant_request{nonce, std::move(account)});
     boost::system::error_code ignored;
     m_socket.send_to(asio::buffer(bytes), to, 0, ignored);
     mine.due.expires_after(until - boot_clock::now());
@@ -35,7 +35,7 @@
     co_return mine.answer;
 }
 
-asio::awaitable<void> udp_grants::receive() {
+asio::awaitable<void> udp_grant_channel::receive() {
     constexpr std::chrono::milliseconds pause{20};
     std::array<char, largest_message_bytes> buffer{};
     for (;;) {
@@ -51,15 +51,15 @@
     }
 }
 
-void udp_grants::take(std::string_view bytes, const asio::ip::udp::endpoint& from) {
-    if (const auto question = decode_question(bytes)) {
+void udp_grant_channel::take(std::string_view bytes, const asio::ip::udp::endpoint& from) {
+    if (const auto question = decode_grant_request(bytes)) {
         auto answer = m_answer(question->account);
         answer.nonce = question->nonce;
         boost::system::error_code ignored;
         m_socket.send_to(asio::buffer(encode(answer)), from, 0, ignored);
         return;
     }
-    const auto answer = decode_answer(bytes);
+    const auto answer = decode_grant_response(bytes);
     if (!answer) {
         return;
     }
--- a/src/cornellever/limits/udp_grants.hpp
+++ b/src/cornellever/limits/udp_grants.hpp
@@ -15,12 +15,12 @@
 
 /// Asks other proxies for grants and answers theirs, one datagram each. A model
 /// of `grant_channel`.
-class udp_grants {
+class udp_grant_channel {
 public:
     /// What this proxy answers to a question for an account.
-    using answerer = std::function<grant_answer(const std::string& account)>;
+    using answerer = std::function<grant_response(const std::string& account)>;
 
-    udp_grants(asio::any_io_executor executor, answerer answer)
+    udp_grant_channel(asio::any_io_executor executor, answerer answer)
         : m_executor{executor}
         , m_socket{executor}
         , m_answer{std::move(answer)} {}
@@ -28,13 +28,13 @@
     /// Binds and begins to answer; `unavailable` when the address is taken.
     [[nodiscard]] result<void> start(const asio::ip::udp::endpoint& where);
 
-    asio::awaitable<std::optional<grant_answer>> ask(asio::ip::udp::endpoint to, std::string account,
-                                                     boot_clock::time_point until);
+    asio::awaitable<std::optional<grant_response>> ask(asio::ip::udp::endpoint to, std::string account,
+                                                       boot_clock::time_point until);
 
 private:
     struct pending {
         asio::steady_timer due;
-        std::optional<grant_answer> answer{};
+        std::optional<grant_response> answer{};
     };
 
     asio::awaitable<void> receive();
--- a/src/cornellever/session/describe.hpp
+++ b/src/cornellever/session/describe.hpp
@@ -15,9 +15,10 @@
     out["config_version"] = static_cast<Json::UInt64>(host.config().version);
     out["registry_version"] = static_cast<Json::UInt64>(host.servers().version);
     out["sessions"] = static_cast<Json::UInt64>(host.sessions());
-    out["configuration_proof_ms"] =
-        host.gate().lease().proven() ? static_cast<Json::Int64>(to_ms(host.gate().lease().age(now))) : Json::Int64{-1};
-    for (const auto& [name, item] : host.gate().accounts().all()) {
+    out["configuration_proof_ms"] = host.authorizer().lease().ever_confirmed()
+                                        ? static_cast<Json::Int64>(to_ms(host.authorizer().lease().age(now)))
+                                        : Json::Int64{-1};
+    for (const auto& [name, item] : host.authorizer().accounts().all()) {
         auto& account = out["accounts"][name];
         account["priority"] = item.priority;
         if (item.limit) {
@@ -25,7 +26,7 @@
             account["burst"] = item.limit->burst;
         }
     }
-    for (const auto& [digest, name] : host.gate().accounts().keys()) {
+    for (const auto& [digest, name] : host.authorizer().accounts().keys()) {
         out["accounts"][name]["keys"].append(digest.fingerprint());
     }
     out["served"] = host.counters().served_in.describe();
@@ -80,7 +81,9 @@
     into.counter("cornellever_limit_refusals_total", "", counted.limit_unknown, {{"cause", "no_coordinator"}});
     into.gauge("cornellever_configuration_proof_age_milliseconds",
                "Since the configuration was last known to be the newest; -1 when never.",
-               host.gate().lease().proven() ? static_cast<double>(to_ms(host.gate().lease().age(now))) : -1.0);
+               host.authorizer().lease().ever_confirmed()
+                   ? static_cast<double>(to_ms(host.authorizer().lease().age(now)))
+                   : -1.0);
     for (std::size_t i = 0; i < traffic_counters::refusals; ++i) {
         into.counter("cornellever_refused_total", i == 0 ? "Statements answered with an error, by cause." : "",
                      counted.refused.at(i), {{"cause", std::string{sql::to_string(static_cast<sql::refusal>(i))}}});
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -21,7 +21,7 @@
 struct statement_run {
     const routing::database_route& route;
     /// Whose the request is and whether it may still run.
-    const accounts::gate& gate;
+    const accounts::authorizer& authorizer;
     session_state& session;
     const sql::request& request;
     /// Set for `execute`: what the name stands for.
@@ -33,8 +33,8 @@
                (prepared != nullptr && prepared->touches == sql::access::write);
     }
     [[nodiscard]] boot_clock::time_point until() const { return arrival + route.statement_timeout; }
-    [[nodiscard]] accounts::gate::decision permitted() const {
-        return gate.ask(route.keyless, session.key, boot_clock::now());
+    [[nodiscard]] accounts::authorizer::decision permitted() const {
+        return authorizer.ask(route.keyless, session.key, boot_clock::now());
     }
 };
 
@@ -77,7 +77,8 @@
 
     [[nodiscard]] static routing::time_limits limits_of(const statement_run& run);
     asio::awaitable<void> await_sample(pool& backends, const statement_run& run, bool needs_primary);
-    [[nodiscard]] std::optional<sql::reply> forbid(const statement_run& run, const accounts::gate::decision& may) const;
+    [[nodiscard]] std::optional<sql::reply> forbid(const statement_run& run,
+                                                   const accounts::authorizer::decision& may) const;
     [[nodiscard]] std::optional<sql::reply> forbid_on(const statement_run& run, const lease& held) const;
     [[nodiscard]] std::optional<sql::reply> admit(pool& backends, const statement_run& run,
                                                   routing::connection_want& want);
--- a/src/cornellever/session/statement_permission.ipp
+++ b/src/cornellever/session/statement_permission.ipp
@@ -7,11 +7,11 @@
 /// The refusal of a request that may not run; nothing where it may.
 template <routing::link_connector Connector>
 std::optional<sql::reply> statement_engine<Connector>::forbid(const statement_run& run,
-                                                              const accounts::gate::decision& may) const {
+                                                              const accounts::authorizer::decision& may) const {
     if (may.granted()) {
         return std::nullopt;
     }
-    const auto age = run.gate.lease().age(boot_clock::now());
+    const auto age = run.authorizer.lease().age(boot_clock::now());
     log_decision(event::request_forbidden, run, "-",
                  std::string{accounts::to_string(may.verdict)} + " key=" + run.session.key.fingerprint() +
                      " proof_ms=" + std::to_string(to_ms(age)));
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -61,7 +61,7 @@
     void update(routing::registry servers);
 
     /// The configuration at hand, or an older one, was the newest at `at`.
-    void prove_configuration(boot_clock::time_point at) { m_gate.prove(at); }
+    void prove_configuration(boot_clock::time_point at) { m_gate.confirm_current(at); }
 
     /// The proxies that share each server's connections, this one among them;
     /// none while they are not known yet. `complete` is whether these are known
@@ -109,7 +109,7 @@
 
     [[nodiscard]] std::size_t sessions() const noexcept { return m_sessions.size(); }
     [[nodiscard]] const routing::configuration& config() const noexcept { return m_config; }
-    [[nodiscard]] const accounts::gate& gate() const noexcept { return m_gate; }
+    [[nodiscard]] const accounts::authorizer& authorizer() const noexcept { return m_gate; }
     [[nodiscard]] const routing::registry& servers() const noexcept { return m_registry; }
     [[nodiscard]] const traffic_counters& counters() const noexcept { return m_counters; }
     [[nodiscard]] std::map<std::string, std::unique_ptr<pool>, std::less<>>& pools() noexcept { return m_pools; }
@@ -203,7 +203,7 @@
     /// By service, worked out when first asked for.
     std::map<std::string, ownership, std::less<>> m_shares;
     traffic_counters m_counters;
-    accounts::gate m_gate;
+    accounts::authorizer m_gate;
     operation_limits m_limits;
     engine m_engine;
     /// Ends when a configuration is known, or is not expected any more.
--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -11,7 +11,7 @@
                                         " before=" + std::to_string(m_config.version) +
                                         " databases=" + std::to_string(config.routes.size()));
     m_config = std::move(config);
-    m_gate.take(m_config.accounts);
+    m_gate.set_accounts(m_config.accounts);
     m_configuration_due.cancel();
     for (auto& [name, backends] : m_pools) {
         backends->start_epoch(boot_clock::now());
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -118,10 +118,10 @@
     }
     const auto account = may.who->name;
     const auto verdict = co_await m_limits.admit(account, *may.who->limit);
-    if (verdict.what == limits::limit_verdict::kind::granted) {
+    if (verdict.what == limits::admission_result::kind::granted) {
         co_return std::nullopt;
     }
-    const bool used_up = verdict.what == limits::limit_verdict::kind::used_up;
+    const bool used_up = verdict.what == limits::admission_result::kind::used_up;
     ++(used_up ? m_counters.over_limit : m_counters.limit_unknown);
     log_event(event::limit_refused, "request=" + asked.id + " database=" + with.state.database + " account=" + account +
                                         " reason=" + (used_up ? "used_up" : "no_coordinator") +
@@ -136,7 +136,7 @@
 /// is more often of the right account.
 template <routing::link_connector Connector>
 std::uint64_t traffic<Connector>::turn_of(const conversation& with) const {
-    const auto* who = m_gate.accounts().holder(with.state.key);
+    const auto* who = m_gate.accounts().find_by_key(with.state.key);
     return who == nullptr ? with.state.id : stable_hash({who->name});
 }
 
--- a/tests/fuzz/statements.cpp
+++ b/tests/fuzz/statements.cpp
@@ -40,13 +40,13 @@
             std::abort();
         }
     }
-    if (const auto question = limits::decode_question(text)) {
-        if (!limits::decode_question(limits::encode(*question))) {
+    if (const auto question = limits::decode_grant_request(text)) {
+        if (!limits::decode_grant_request(limits::encode(*question))) {
             std::abort();
         }
     }
-    if (const auto answer = limits::decode_answer(text)) {
-        if (!limits::decode_answer(limits::encode(*answer))) {
+    if (const auto answer = limits::decode_grant_response(text)) {
+        if (!limits::decode_grant_response(limits::encode(*answer))) {
             std::abort();
         }
     }
--- a/tests/platform/registrations.cpp
+++ b/tests/platform/registrations.cpp
@@ -126,13 +126,13 @@
                             .value();
     BOOST_TEST(!config.routes.at("db").keyless);
     BOOST_TEST(config.routes.at("open").keyless);
-    const auto* yard = config.accounts.holder(accounts::key_digest::of("k2"));
+    const auto* yard = config.accounts.find_by_key(accounts::key_digest::of("k2"));
     BOOST_TEST_REQUIRE(yard != nullptr);
     BOOST_TEST(yard->name == "yard");
     BOOST_TEST(yard->priority == 3);
     BOOST_TEST((yard->limit == accounts::rate_limit{191, 191}));
     BOOST_TEST(!config.accounts.find("shop")->limit.has_value());
-    BOOST_TEST(config.accounts.holder(accounts::key_digest::of("k3")) == nullptr);
+    BOOST_TEST(config.accounts.find_by_key(accounts::key_digest::of("k3")) == nullptr);
 }
 
 // A deployment without accounts asks nobody for a key.
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -105,23 +105,23 @@
 BOOST_AUTO_TEST_CASE(a_key_of_two_accounts_stands_for_none) {
     auto all = two_accounts();
     all.add_key(key_digest::of("key-yard"), "shop");
-    BOOST_TEST(all.holder(key_digest::of("key-yard")) == nullptr);
+    BOOST_TEST(all.find_by_key(key_digest::of("key-yard")) == nullptr);
     all.add_key(key_digest::of("key-yard"), "yard");
-    BOOST_TEST(all.holder(key_digest::of("key-yard")) == nullptr);
+    BOOST_TEST(all.find_by_key(key_digest::of("key-yard")) == nullptr);
     BOOST_TEST(all.ambiguous() == 1U);
-    BOOST_TEST(all.holder(key_digest::of("key-yard-2"))->name == "yard");
+    BOOST_TEST(all.find_by_key(key_digest::of("key-yard-2"))->name == "yard");
 }
 
 BOOST_AUTO_TEST_CASE(a_key_given_twice_to_one_account_holds) {
     auto all = two_accounts();
     all.add_key(key_digest::of("key-yard"), "yard");
-    BOOST_TEST(all.holder(key_digest::of("key-yard"))->name == "yard");
+    BOOST_TEST(all.find_by_key(key_digest::of("key-yard"))->name == "yard");
 }
 
 BOOST_AUTO_TEST_CASE(a_key_of_an_account_that_is_not_there_stands_for_none) {
     auto all = two_accounts();
     all.add_key(key_digest::of("lost"), "nobody");
-    BOOST_TEST(all.holder(key_digest::of("lost")) == nullptr);
+    BOOST_TEST(all.find_by_key(key_digest::of("lost")) == nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(ten_thousand_accounts_are_told_apart) {
@@ -132,8 +132,8 @@
         all.add_key(key_digest::of("key-of-" + name), name);
     }
     BOOST_TEST(all.keys().size() == 10'000U);
-    BOOST_TEST(all.holder(key_digest::of("key-of-account-4711"))->name == "account-4711");
-    BOOST_TEST(all.holder(key_digest::of("key-of-account-10000")) == nullptr);
+    BOOST_TEST(all.find_by_key(key_digest::of("key-of-account-4711"))->name == "account-4711");
+    BOOST_TEST(all.find_by_key(key_digest::of("key-of-account-10000")) == nullptr);
 }
 
 // A key is taken away while a proxy can hear nobody. It has to stop by itself
@@ -141,11 +141,11 @@
 BOOST_AUTO_TEST_CASE(a_lease_ends_before_the_bound_of_the_last_proof) {
     accounts::configuration_lease lease{5000ms};
     BOOST_TEST(!lease.holds(start));
-    lease.prove(start);
+    lease.confirm_current(start);
     BOOST_TEST(lease.holds(start + 4000ms));
     BOOST_TEST(!lease.holds(start + 5000ms));
-    lease.prove(start + 3000ms);
-    lease.prove(start + 1000ms);
+    lease.confirm_current(start + 3000ms);
+    lease.confirm_current(start + 1000ms);
     BOOST_TEST(lease.holds(start + 7000ms));
     BOOST_TEST(!lease.holds(start + 8000ms));
 }
@@ -155,13 +155,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(open_databases_ask_for_neither_key_nor_lease) {
-    accounts::gate gate{accounts::configuration_lease{5000ms}};
-    gate.take(two_accounts());
-    BOOST_TEST(gate.ask(true, key_digest::of("whatever"), start).granted());
-    BOOST_TEST((gate.ask(false, key_digest::of("whatever"), start).verdict == permission::unknown_key));
-    BOOST_TEST((gate.ask(false, key_digest::of("key-yard"), start).verdict == permission::lease_ended));
-    gate.prove(start);
-    BOOST_TEST(gate.ask(false, key_digest::of("key-yard"), start).account_name() == "yard");
+    accounts::authorizer authorizer{accounts::configuration_lease{5000ms}};
+    authorizer.set_accounts(two_accounts());
+    BOOST_TEST(authorizer.ask(true, key_digest::of("whatever"), start).granted());
+    BOOST_TEST((authorizer.ask(false, key_digest::of("whatever"), start).verdict == permission::unknown_key));
+    BOOST_TEST((authorizer.ask(false, key_digest::of("key-yard"), start).verdict == permission::lease_ended));
+    authorizer.confirm_current(start);
+    BOOST_TEST(authorizer.ask(false, key_digest::of("key-yard"), start).account_name() == "yard");
 }
 
 // The name of a decision is the account's own text, not a copy that is gone.
@@ -170,9 +170,9 @@
     accounts::directory all;
     all.add({.name = name});
     all.add_key(key_digest::of("key"), name);
-    accounts::gate gate;
-    gate.take(all);
-    const auto may = gate.ask(false, key_digest::of("key"), start);
+    accounts::authorizer authorizer;
+    authorizer.set_accounts(all);
+    const auto may = authorizer.ask(false, key_digest::of("key"), start);
     BOOST_TEST(may.account_name().data() == may.who->name.data());
     BOOST_TEST(may.account_name() == name);
 }
@@ -190,19 +190,19 @@
         std::uint64_t version{1};
         cluster::table_news news;
         accounts::configuration_lease lease{bound};
-        void prove() { lease.prove(news.current_at()); }
+        void confirm_current() { lease.confirm_current(news.current_at()); }
     };
     const auto ask_store = [](proxy& one, std::uint64_t newest, boot_clock::time_point asked) {
         one.version = newest;
         one.news.note_current(asked);
-        one.prove();
+        one.confirm_current();
     };
     const auto hear = [](proxy& one, const proxy& other, boot_clock::time_point asked, boot_clock::time_point now) {
         if (other.news.current_at() != boot_clock::time_point{}) {
             const auto age = asked - other.news.current_at();
             one.news.hear(other.version, one.version, asked - age, now);
         }
-        one.prove();
+        one.confirm_current();
     };
     int courses = 0;
     int ran_late = 0;
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -18,11 +18,11 @@
 const boot_clock::time_point start{std::chrono::hours{1}};
 constexpr limit_bound bound{.window = 5000ms, .overage = 0.1, .slack = 20.0};
 
-accounts::gate gate_of(const accounts::rate_limit& limit) {
+accounts::authorizer gate_of(const accounts::rate_limit& limit) {
     accounts::directory all;
     all.add({.name = "yard", .limit = limit});
-    accounts::gate out;
-    out.take(all);
+    accounts::authorizer out;
+    out.set_accounts(all);
     return out;
 }
 
@@ -51,21 +51,21 @@
 /// test's own.
 struct fleet {
     fleet(std::size_t count, const accounts::rate_limit& limit, bool first_start = true)
-        : gate{gate_of(limit)}
+        : authorizer{gate_of(limit)}
         , known{names(count)} {
         for (const auto& name : known) {
-            desks.emplace(name, grant_desk{name, bound, first_start});
+            desks.emplace(name, limit_coordinator{name, bound, first_start});
             desks.at(name).set_proxies(known, start);
         }
     }
 
     /// One operation by whoever asks in turn; whether any coordinator granted it.
     bool admit(boot_clock::time_point now, std::size_t turn) {
-        auto order = desks.at(known.front()).coordinators("yard", *gate.accounts().find("yard")->limit);
+        auto order = desks.at(known.front()).coordinators("yard", *authorizer.accounts().find("yard")->limit);
         std::ranges::rotate(order, order.begin() + static_cast<std::ptrdiff_t>(turn % order.size()));
         for (const auto& name : order) {
             if (!unreachable.contains(name) &&
-                desks.at(name).ask("yard", gate, now).outcome == grant_outcome::granted) {
+                desks.at(name).ask("yard", authorizer, now).outcome == grant_outcome::granted) {
                 return true;
             }
         }
@@ -73,23 +73,23 @@
     }
 
     void restart(const std::string& name, boot_clock::time_point now) {
-        desks.insert_or_assign(name, grant_desk{name, bound});
+        desks.insert_or_assign(name, limit_coordinator{name, bound});
         desks.at(name).set_proxies(known, now);
     }
 
-    accounts::gate gate;
+    accounts::authorizer authorizer;
     std::vector<std::string> known;
-    std::map<std::string, grant_desk, std::less<>> desks;
+    std::map<std::string, limit_coordinator, std::less<>> desks;
     std::set<std::string, std::less<>> unreachable;
 };
 
 /// Answers for other proxies as their desks do; none for those that are away.
 struct fake_grants {
-    std::map<std::uint16_t, std::deque<grant_answer>> answers;
+    std::map<std::uint16_t, std::deque<grant_response>> answers;
     std::vector<std::uint16_t> asked;
 
-    asio::awaitable<std::optional<grant_answer>> ask(asio::ip::udp::endpoint to, std::string,
-                                                     boot_clock::time_point until) {
+    asio::awaitable<std::optional<grant_response>> ask(asio::ip::udp::endpoint to, std::string,
+                                                       boot_clock::time_point until) {
         asked.push_back(to.port());
         auto& left = answers[to.port()];
         if (left.empty()) {
@@ -214,7 +214,7 @@
 // and granting for those that reach it: both at once would be over the limit.
 BOOST_AUTO_TEST_CASE(a_proxy_that_takes_anothers_place_waits_first) {
     const accounts::rate_limit limit{100, 100};
-    const auto gate = gate_of(limit);
+    const auto authorizer = gate_of(limit);
     auto all = names(20);
     const auto before = choose_coordinators("yard", 8, all);
     const auto leaver = all[before[0]];
@@ -228,33 +228,34 @@
         }
     }
     BOOST_TEST_REQUIRE(!joiner.empty());
-    grant_desk desk{joiner, bound, true};
+    limit_coordinator desk{joiner, bound, true};
     desk.set_proxies(all, start);
-    BOOST_TEST((desk.ask("yard", gate, start).outcome == grant_outcome::not_mine));
+    BOOST_TEST((desk.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
     desk.set_proxies(rest, start + 10s);
-    BOOST_TEST((desk.ask("yard", gate, start + 11s).outcome == grant_outcome::used_up));
-    BOOST_TEST((desk.ask("yard", gate, start + 10s + grant_desk::takeover + 1s).outcome == grant_outcome::granted));
+    BOOST_TEST((desk.ask("yard", authorizer, start + 11s).outcome == grant_outcome::used_up));
+    BOOST_TEST((desk.ask("yard", authorizer, start + 10s + limit_coordinator::takeover + 1s).outcome ==
+                grant_outcome::granted));
 }
 
 // A proxy starts while the store turns it away, and knows two others by their
 // heartbeats. It took itself for a coordinator of each account, beside those that
 // all the others know.
 BOOST_AUTO_TEST_CASE(a_proxy_that_does_not_know_all_others_grants_nothing) {
-    const auto gate = gate_of({100, 100});
-    grant_desk desk{"proxy-0", bound, true};
+    const auto authorizer = gate_of({100, 100});
+    limit_coordinator desk{"proxy-0", bound, true};
     desk.set_proxies(names(3), start, false);
-    BOOST_TEST((desk.ask("yard", gate, start + 1s).outcome == grant_outcome::not_mine));
+    BOOST_TEST((desk.ask("yard", authorizer, start + 1s).outcome == grant_outcome::not_coordinator));
     const auto all = names(84);
-    grant_desk coordinator{all[choose_coordinators("yard", 8, all).front()], bound, true};
+    limit_coordinator coordinator{all[choose_coordinators("yard", 8, all).front()], bound, true};
     coordinator.set_proxies(names(3), start, false);
     coordinator.set_proxies(all, start + 2s);
-    BOOST_TEST((coordinator.ask("yard", gate, start + 2s).outcome == grant_outcome::granted));
+    BOOST_TEST((coordinator.ask("yard", authorizer, start + 2s).outcome == grant_outcome::granted));
 }
 
 // An operator lowers a limit far below what is sent: what was saved up under the
 // one before must not be granted on.
 BOOST_AUTO_TEST_CASE(a_lowered_limit_holds_at_once) {
-    grant_desk desk{"a", bound, true};
+    limit_coordinator desk{"a", bound, true};
     desk.set_proxies({"a"}, start);
     const auto high = gate_of({1000, 1000});
     const auto low = gate_of({1, 1});
@@ -270,16 +271,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_coordinator_without_a_lease_grants_nothing) {
-    accounts::gate gate{accounts::configuration_lease{2000ms}};
+    accounts::authorizer authorizer{accounts::configuration_lease{2000ms}};
     accounts::directory all;
     all.add({.name = "yard", .limit = accounts::rate_limit{10, 10}});
-    gate.take(all);
-    grant_desk desk{"a", bound, true};
+    authorizer.set_accounts(all);
+    limit_coordinator desk{"a", bound, true};
     desk.set_proxies({"a"}, start);
-    BOOST_TEST((desk.ask("yard", gate, start).outcome == grant_outcome::not_mine));
-    gate.prove(start);
-    BOOST_TEST((desk.ask("yard", gate, start).outcome == grant_outcome::granted));
-    BOOST_TEST((desk.ask("nobody", gate, start).outcome == grant_outcome::not_mine));
+    BOOST_TEST((desk.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
+    authorizer.confirm_current(start);
+    BOOST_TEST((desk.ask("yard", authorizer, start).outcome == grant_outcome::granted));
+    BOOST_TEST((desk.ask("nobody", authorizer, start).outcome == grant_outcome::not_coordinator));
 }
 
 // Nine in ten of the callers who come back when they were told are served.
@@ -296,7 +297,7 @@
         }
         auto wait = 5000ms;
         for (auto& [name, desk] : all.desks) {
-            const auto answer = desk.ask("yard", all.gate, now);
+            const auto answer = desk.ask("yard", all.authorizer, now);
             wait = std::min(wait, answer.wait);
         }
         ++told;
@@ -306,10 +307,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(messages_read_as_they_were_written) {
-    const auto question = decode_question(encode(grant_question{77, "yard"})).value();
+    const auto question = decode_grant_request(encode(grant_request{77, "yard"})).value();
     BOOST_TEST(question.nonce == 77U);
     BOOST_TEST(question.account == "yard");
-    const auto answer = decode_answer(encode(grant_answer{78, grant_outcome::used_up, 120ms})).value();
+    const auto answer = decode_grant_response(encode(grant_response{78, grant_outcome::used_up, 120ms})).value();
     BOOST_TEST(answer.nonce == 78U);
     BOOST_TEST((answer.outcome == grant_outcome::used_up));
     BOOST_TEST((answer.wait == 120ms));
@@ -319,8 +320,8 @@
     for (const auto* odd :
          {"", "lq1", "lq1 ", "lq1 x yard", "lq1 7", "lq1 7 ", "lq1 7 two words", "lq2 7 yard", "la1 7 0", "la1 7 9 0",
           "la1 7 0 -1", "la1 7 0 99999999999999999999", "la1  0 0", "cl3 q 1 2"}) {
-        BOOST_TEST(!decode_question(odd).has_value(), odd);
-        BOOST_TEST(!decode_answer(odd).has_value(), odd);
+        BOOST_TEST(!decode_grant_request(odd).has_value(), odd);
+        BOOST_TEST(!decode_grant_response(odd).has_value(), odd);
     }
     std::mt19937_64 random{3};
     for (int i = 0; i < 20'000; ++i) {
@@ -328,8 +329,8 @@
         for (auto left = random() % 20; left > 0; --left) {
             bytes.push_back(static_cast<char>(random() % 256));
         }
-        (void)decode_question(bytes);
-        (void)decode_answer(bytes);
+        (void)decode_grant_request(bytes);
+        (void)decode_grant_response(bytes);
     }
 }
 
@@ -338,40 +339,40 @@
 BOOST_AUTO_TEST_CASE(an_operation_is_granted_by_the_next_coordinator) {
     event_loop io;
     fake_grants channel;
-    grant_desk desk{"self", bound};
+    limit_coordinator desk{"self", bound};
     limiter keeper{channel, desk, "self", "here"};
-    std::vector<coordinator_place> places;
+    std::vector<coordinator_endpoint> places;
     const auto where = asio::ip::make_address("10.0.0.1");
     for (std::uint16_t port = 1; port <= 3; ++port) {
         places.push_back({"p" + std::to_string(port), "here", {where, port}});
     }
     keeper.set_proxies(places);
     const accounts::rate_limit limit{100, 100};
-    const auto gate = gate_of(limit);
+    const auto authorizer = gate_of(limit);
     channel.answers[2].push_back({.outcome = grant_outcome::used_up, .wait = 5ms});
     channel.answers[3].push_back({.outcome = grant_outcome::granted});
-    std::vector<limit_verdict> got;
+    std::vector<admission_result> got;
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            got.push_back(co_await keeper.admit("yard", limit, gate));
+            got.push_back(co_await keeper.admit("yard", limit, authorizer));
             channel.answers.clear();
             for (const std::uint16_t port : {1, 2, 3}) {
                 channel.answers[port].push_back({.outcome = grant_outcome::used_up, .wait = 30ms});
             }
-            got.push_back(co_await keeper.admit("yard", limit, gate));
+            got.push_back(co_await keeper.admit("yard", limit, authorizer));
             const auto before = channel.asked.size();
-            got.push_back(co_await keeper.admit("yard", limit, gate));
+            got.push_back(co_await keeper.admit("yard", limit, authorizer));
             BOOST_TEST(channel.asked.size() == before);
             io.stop();
         },
         asio::detached);
     io.run();
     BOOST_TEST_REQUIRE(got.size() == 3U);
-    BOOST_TEST((got[0].what == limit_verdict::kind::granted));
-    BOOST_TEST((got[1].what == limit_verdict::kind::used_up));
+    BOOST_TEST((got[0].what == admission_result::kind::granted));
+    BOOST_TEST((got[1].what == admission_result::kind::used_up));
     BOOST_TEST((got[1].wait == 30ms));
-    BOOST_TEST((got[2].what == limit_verdict::kind::used_up));
+    BOOST_TEST((got[2].what == admission_result::kind::used_up));
     io.abandon_pending();
 }
 
@@ -384,8 +385,8 @@
     config.accounts.add({.name = "yard", .limit = accounts::rate_limit{1, 1}});
     config.accounts.add_key(accounts::key_digest::of("key"), "yard");
     int left = 2;
-    proxy.host.keep_limits({.admit = [&](std::string, accounts::rate_limit) -> asio::awaitable<limit_verdict> {
-        co_return left-- > 0 ? limit_verdict{} : limit_verdict{limit_verdict::kind::used_up, 700ms, 1};
+    proxy.host.keep_limits({.admit = [&](std::string, accounts::rate_limit) -> asio::awaitable<admission_result> {
+        co_return left-- > 0 ? admission_result{} : admission_result{admission_result::kind::used_up, 700ms, 1};
     }});
     proxy.host.update(config);
     using sql::statement_kind;
