--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -12,7 +12,7 @@
 source scripts/clang16.sh
 flags=("${CLANG16_FLAGS[@]}" -O1 -g -Isrc -I. -fsanitize=address,undefined -fno-sanitize-recover=undefined)
 sources=(src/cornellever/config/ini_text.cpp src/cornellever/config/json.cpp src/cornellever/config/load.cpp src/cornellever/config/model.cpp
-  src/cornellever/config/words.cpp
+  src/cornellever/config/parsing.cpp
   src/cornellever/core/asio.cpp src/cornellever/core/base64.cpp src/cornellever/core/error.cpp src/cornellever/core/packing.cpp
   src/cornellever/ini/reader.cpp
   src/cornellever/proxy/group_record.cpp src/cornellever/proxy/request.cpp src/cornellever/proxy/session_token.cpp
--- a/src/cornellever/config/load.cpp
+++ b/src/cornellever/config/load.cpp
@@ -7,7 +7,7 @@
 #include <span>
 
 #include "cornellever/config/model.hpp"
-#include "cornellever/config/words.hpp"
+#include "cornellever/config/parsing.hpp"
 #include "cornellever/core/asio.hpp"
 #include "cornellever/ini/reader.hpp"
 
--- a/src/cornellever/config/words.cpp
+++ b/src/cornellever/config/parsing.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/config/words.hpp"
+#include "cornellever/config/parsing.hpp"
 
 #include <algorithm>
 #include <cctype>
--- a/src/cornellever/limits/grant_desk.cpp
+++ b/src/cornellever/limits/limit_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/limits/grant_desk.hpp"
+#include "cornellever/limits/limit_coordinator.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/cornellever/limits/grant_desk.hpp
+++ b/src/cornellever/limits/limit_coordinator.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "cornellever/accounts/gate.hpp"
+#include "cornellever/accounts/authorizer.hpp"
 #include "cornellever/limits/grant_message.hpp"
 #include "cornellever/limits/limit_share.hpp"
 #include "cornellever/limits/token_bucket.hpp"
--- a/src/cornellever/limits/limiter.hpp
+++ b/src/cornellever/limits/limiter.hpp
@@ -12,7 +12,7 @@
 
 #include "cornellever/core/asio.hpp"
 #include "cornellever/core/boot_clock.hpp"
-#include "cornellever/limits/grant_desk.hpp"
+#include "cornellever/limits/limit_coordinator.hpp"
 
 namespace cornellever::limits {
 
--- a/src/cornellever/limits/udp_grants.cpp
+++ b/src/cornellever/limits/udp_grant_channel.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/limits/udp_grants.hpp"
+#include "cornellever/limits/udp_grant_channel.hpp"
 
 #include <array>
 #include <random>
--- a/src/cornellever/proxy/settings.cpp
+++ b/src/cornellever/proxy/settings.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <utility>
 
-#include "cornellever/config/words.hpp"
+#include "cornellever/config/parsing.hpp"
 #include "cornellever/ini/reader.hpp"
 
 namespace cornellever::proxy {
--- a/src/cornellever/session/serve_settings.cpp
+++ b/src/cornellever/session/serve_settings.cpp
@@ -7,7 +7,7 @@
 #include <optional>
 #include <set>
 
-#include "cornellever/config/words.hpp"
+#include "cornellever/config/parsing.hpp"
 #include "cornellever/ini/reader.hpp"
 
 namespace cornellever::session {
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "cornellever/accounts/gate.hpp"
+#include "cornellever/accounts/authorizer.hpp"
 #include "cornellever/core/scoped_count.hpp"
 #include "cornellever/routing/admission.hpp"
 #include "cornellever/routing/service_pool.hpp"
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "cornellever/accounts/gate.hpp"
+#include "cornellever/accounts/authorizer.hpp"
 #include "cornellever/core/asio.hpp"
 #include "cornellever/core/log.hpp"
 #include "cornellever/core/stable_hash.hpp"
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -3,7 +3,7 @@
 #include <random>
 #include <set>
 
-#include "cornellever/accounts/gate.hpp"
+#include "cornellever/accounts/authorizer.hpp"
 #include "cornellever/cluster/snapshot.hpp"
 #include "cornellever/cluster/table_news.hpp"
 #include "cornellever/session/describe.hpp"
