--- a/src/cornellever/accounts/authorizer.hpp
+++ b/src/cornellever/accounts/authorizer.hpp
@@ -8,12 +8,12 @@
 
 namespace cornellever::accounts {
 
-/// Whether a request may run.
+/// Whether a request is authorized.
 enum class permission {
     granted,
-    /// Its key stands for no account: it never did, or was taken away.
+    /// The key belongs to no account: it never did, or was revoked.
     unknown_key,
-    /// Nobody has said lately whether the key still stands for its account.
+    /// The key belongs to an account, but the configuration that says so is not confirmed current any more.
     lease_ended,
 };
 
@@ -29,13 +29,13 @@
     return "unknown";
 }
 
-/// Says whose a request is and whether it may run. Asked when a session opens,
-/// and again immediately before each statement is sent to a server.
+/// Identifies the account of a request by its key and decides whether the request may run. Checked when a session
+/// opens, and again immediately before each statement is sent to a server.
 class authorizer {
 public:
     using time_point = boot_clock::time_point;
 
-    /// `who` is null where the request belongs to no account.
+    /// `who` is null when the request belongs to no account.
     struct decision {
         permission verdict{permission::granted};
         const account* who{nullptr};
@@ -52,7 +52,7 @@
     void set_accounts(directory accounts) { m_accounts = std::move(accounts); }
     void confirm_current(time_point at) { m_lease.confirm_current(at); }
 
-    /// `keyless` is whether the database is open to everybody.
+    /// Checks a request; `keyless` says that its database accepts requests without a key.
     [[nodiscard]] decision ask(bool keyless, const key_digest& key, time_point now) const {
         if (keyless) {
             return {};
@@ -61,7 +61,7 @@
         if (who == nullptr) {
             return {permission::unknown_key, nullptr};
         }
-        return {m_lease.holds(now) ? permission::granted : permission::lease_ended, who};
+        return {m_lease.is_valid(now) ? permission::granted : permission::lease_ended, who};
     }
 
     [[nodiscard]] const directory& accounts() const noexcept { return m_accounts; }
--- a/src/cornellever/accounts/configuration_lease.hpp
+++ b/src/cornellever/accounts/configuration_lease.hpp
@@ -8,39 +8,38 @@
 
 namespace cornellever::accounts {
 
-/// How long a proxy may rely on its copy of the configuration to say whose a
-/// key is. A key that is taken away must not run anything after a bound, also
-/// where the proxy was cut off, frozen or turned away and never heard of it: so
-/// the copy counts for a limited time from the last moment of which the store,
-/// or a peer that had it from the store, said that no newer one existed.
+/// Limits how long a proxy may authenticate keys against its copy of the configuration. A revoked key must stop
+/// working within a bound, also at a proxy that was partitioned, suspended or refused by the store and never learnt
+/// of the revocation. The copy therefore expires a limited time after the last moment at which the store, or a peer
+/// that had read it from the store, confirmed that no newer version existed.
 class configuration_lease {
 public:
     using time_point = boot_clock::time_point;
 
-    /// `bound` is the time after the acknowledgement of a change by which a key
-    /// must be dead; nothing where only proxies in touch have to keep it.
+    /// `bound` is the time after the acknowledgement of a revocation by which every proxy rejects the key. Without a
+    /// bound the lease never expires, and only proxies that receive updates reject the key.
     explicit configuration_lease(std::optional<std::chrono::milliseconds> bound = std::nullopt) : m_bound{bound} {}
 
-    /// The copy at hand, or an older one, was the newest at `at`.
-    void confirm_current(time_point at) { m_proven_at = std::max(m_proven_at, at); }
+    /// Records that this copy, or an older one, was the newest version at `at`.
+    void confirm_current(time_point at) { m_confirmed_at = std::max(m_confirmed_at, at); }
 
     /// Whether the copy may be relied on at `now`.
-    [[nodiscard]] bool holds(time_point now) const {
-        return !m_bound || (m_proven_at != time_point{} && now - m_proven_at < *m_bound - reserve);
+    [[nodiscard]] bool is_valid(time_point now) const {
+        return !m_bound || (m_confirmed_at != time_point{} && now - m_confirmed_at < *m_bound - safety_margin);
     }
 
-    /// How long ago the copy was the newest.
-    [[nodiscard]] std::chrono::nanoseconds age(time_point now) const { return now - m_proven_at; }
+    /// Time since the copy was last confirmed current.
+    [[nodiscard]] std::chrono::nanoseconds age(time_point now) const { return now - m_confirmed_at; }
 
-    [[nodiscard]] bool ever_confirmed() const noexcept { return m_proven_at != time_point{}; }
+    [[nodiscard]] bool ever_confirmed() const noexcept { return m_confirmed_at != time_point{}; }
 
 private:
-    /// Clocks that run at different rates, ages that were rounded, and the way of
-    /// a statement from the check to the server.
-    static constexpr std::chrono::milliseconds reserve{200};
+    /// Covers clocks that run at different rates, rounded ages, and the time that a statement takes from the check to
+    /// the server.
+    static constexpr std::chrono::milliseconds safety_margin{200};
 
     std::optional<std::chrono::milliseconds> m_bound;
-    time_point m_proven_at{};
+    time_point m_confirmed_at{};
 };
 
 } // namespace cornellever::accounts
--- a/src/cornellever/accounts/directory.cpp
+++ b/src/cornellever/accounts/directory.cpp
@@ -10,13 +10,13 @@
 }
 
 void directory::add_key(const key_digest& key, std::string_view name) {
-    if (m_ambiguous.contains(key)) {
+    if (m_ambiguous_keys.contains(key)) {
         return;
     }
-    const auto [at, added] = m_keys.try_emplace(key, name);
-    if (!added && at->second != name) {
-        m_keys.erase(at);
-        m_ambiguous.insert(key);
+    const auto [entry, inserted] = m_keys.try_emplace(key, name);
+    if (!inserted && entry->second != name) {
+        m_keys.erase(entry);
+        m_ambiguous_keys.insert(key);
     }
 }
 
--- a/src/cornellever/limits/limit_coordinator.cpp
+++ b/src/cornellever/limits/limit_coordinator.cpp
@@ -95,7 +95,7 @@
     const auto* who = authorizer.accounts().find(account);
     // Without a lease on its configuration this proxy may be one whom the others
     // have replaced long since, or know an older limit.
-    if (who == nullptr || !who->limit || !m_complete || !authorizer.lease().holds(now)) {
+    if (who == nullptr || !who->limit || !m_complete || !authorizer.lease().is_valid(now)) {
         return {.outcome = grant_outcome::not_coordinator};
     }
     auto& share = share_for(*who, now);
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -108,7 +108,7 @@
     BOOST_TEST(all.find_by_key(key_digest::of("key-yard")) == nullptr);
     all.add_key(key_digest::of("key-yard"), "yard");
     BOOST_TEST(all.find_by_key(key_digest::of("key-yard")) == nullptr);
-    BOOST_TEST(all.ambiguous() == 1U);
+    BOOST_TEST(all.ambiguous_keys() == 1U);
     BOOST_TEST(all.find_by_key(key_digest::of("key-yard-2"))->name == "yard");
 }
 
@@ -140,18 +140,18 @@
 // before the bound, whatever it still believes.
 BOOST_AUTO_TEST_CASE(a_lease_ends_before_the_bound_of_the_last_proof) {
     accounts::configuration_lease lease{5000ms};
-    BOOST_TEST(!lease.holds(start));
+    BOOST_TEST(!lease.is_valid(start));
     lease.confirm_current(start);
-    BOOST_TEST(lease.holds(start + 4000ms));
-    BOOST_TEST(!lease.holds(start + 5000ms));
+    BOOST_TEST(lease.is_valid(start + 4000ms));
+    BOOST_TEST(!lease.is_valid(start + 5000ms));
     lease.confirm_current(start + 3000ms);
     lease.confirm_current(start + 1000ms);
-    BOOST_TEST(lease.holds(start + 7000ms));
-    BOOST_TEST(!lease.holds(start + 8000ms));
+    BOOST_TEST(lease.is_valid(start + 7000ms));
+    BOOST_TEST(!lease.is_valid(start + 8000ms));
 }
 
 BOOST_AUTO_TEST_CASE(without_a_bound_a_copy_holds_until_it_is_replaced) {
-    BOOST_TEST(accounts::configuration_lease{}.holds(start + std::chrono::hours{5}));
+    BOOST_TEST(accounts::configuration_lease{}.is_valid(start + std::chrono::hours{5}));
 }
 
 BOOST_AUTO_TEST_CASE(open_databases_ask_for_neither_key_nor_lease) {
@@ -236,7 +236,7 @@
                 break;
             }
             for (const auto* one : {&a, &b}) {
-                const bool runs = one->version == 1 && one->lease.holds(now);
+                const bool runs = one->version == 1 && one->lease.is_valid(now);
                 ran_late += runs && now >= taken_at + bound ? 1 : 0;
                 ran_in_time += runs && now < taken_at + bound ? 1 : 0;
             }
