--- a/src/cornellever/limits/coordinators.hpp
+++ b/src/cornellever/limits/coordinators.hpp
@@ -8,9 +8,9 @@
 
 namespace cornellever::limits {
 
-/// The `number` proxies that share out an account's limit, by their places in
-/// `proxies`. All that know the same proxies come to the same ones, and one that
-/// joins or leaves changes at most one of them (rendezvous hashing).
+/// Chooses the `number` proxies that coordinate an account's limit, as indices into `proxies`. By rendezvous hashing,
+/// all callers with the same `proxies` choose the same coordinators, and a proxy that joins or leaves replaces at most
+/// one of them.
 [[nodiscard]] std::vector<std::size_t> choose_coordinators(std::string_view account, std::size_t number,
                                                            std::span<const std::string> proxies);
 
--- a/src/cornellever/limits/grant_message.cpp
+++ b/src/cornellever/limits/grant_message.cpp
@@ -6,38 +6,38 @@
 
 namespace {
 
-/// First words of a question and of an answer; another version gets others.
-constexpr std::string_view question_word = "lq1";
-constexpr std::string_view answer_word = "la1";
+/// First words of a request and of a response; an incompatible version needs new ones.
+constexpr std::string_view request_tag = "lq1";
+constexpr std::string_view response_tag = "la1";
 
 } // namespace
 
 std::string encode(const grant_request& message) {
-    return std::string{question_word} + " " + std::to_string(message.nonce) + " " + message.account;
+    return std::string{request_tag} + " " + std::to_string(message.nonce) + " " + message.account;
 }
 
 std::string encode(const grant_response& message) {
-    return std::string{answer_word} + " " + std::to_string(message.nonce) + " " +
+    return std::string{response_tag} + " " + std::to_string(message.nonce) + " " +
            std::to_string(static_cast<int>(message.outcome)) + " " + std::to_string(message.wait.count());
 }
 
 std::optional<grant_request> decode_grant_request(std::string_view bytes) {
-    const bool known = take_word(bytes) == question_word;
+    const bool tag_matches = take_word(bytes) == request_tag;
     const auto nonce = whole_number(take_word(bytes));
-    if (!known || !nonce || bytes.empty() || bytes.find(' ') != std::string_view::npos) {
+    if (!tag_matches || !nonce || bytes.empty() || bytes.find(' ') != std::string_view::npos) {
         return std::nullopt;
     }
     return grant_request{*nonce, std::string{bytes}};
 }
 
 std::optional<grant_response> decode_grant_response(std::string_view bytes) {
-    constexpr std::uint64_t longest_wait_ms = 3'600'000;
-    const bool known = take_word(bytes) == answer_word;
+    constexpr std::uint64_t max_wait_ms = 3'600'000;
+    const bool tag_matches = take_word(bytes) == response_tag;
     const auto nonce = whole_number(take_word(bytes));
     const auto outcome = whole_number(take_word(bytes));
     const auto wait = whole_number(bytes);
-    if (!known || !nonce || !outcome || !wait ||
-        *outcome > static_cast<std::uint64_t>(grant_outcome::not_coordinator) || *wait > longest_wait_ms) {
+    if (!tag_matches || !nonce || !outcome || !wait ||
+        *outcome > static_cast<std::uint64_t>(grant_outcome::not_coordinator) || *wait > max_wait_ms) {
         return std::nullopt;
     }
     return grant_response{*nonce, static_cast<grant_outcome>(*outcome),
--- a/src/cornellever/limits/grant_message.hpp
+++ b/src/cornellever/limits/grant_message.hpp
@@ -8,7 +8,7 @@
 
 namespace cornellever::limits {
 
-/// Asks a coordinator to let one operation of an account run.
+/// Asks a coordinator to grant one operation of an account.
 struct grant_request {
     std::uint64_t nonce{0};
     std::string account;
@@ -18,23 +18,22 @@
     granted,
     /// The coordinator's share is used up.
     used_up,
-    /// The proxy that was asked coordinates nothing of this account, or does not
-    /// know whether its configuration is current.
+    /// The proxy does not coordinate this account's limit, or its configuration is not confirmed current.
     not_coordinator,
 };
 
-/// The answer to the question of that nonce.
+/// The response to the request with the same nonce.
 struct grant_response {
     std::uint64_t nonce{0};
     grant_outcome outcome{grant_outcome::not_coordinator};
-    /// Of `used_up`: when the share has an operation again.
+    /// With `used_up`: time until the share has a token again.
     std::chrono::milliseconds wait{0};
 };
 
 [[nodiscard]] std::string encode(const grant_request& message);
 [[nodiscard]] std::string encode(const grant_response& message);
 
-/// Nothing when the bytes are not such a message.
+/// Decodes a message; nothing when `bytes` is not a valid one of that type.
 [[nodiscard]] std::optional<grant_request> decode_grant_request(std::string_view bytes);
 [[nodiscard]] std::optional<grant_response> decode_grant_response(std::string_view bytes);
 
--- a/src/cornellever/limits/limit_coordinator.hpp
+++ b/src/cornellever/limits/limit_coordinator.hpp
@@ -17,71 +17,70 @@
 
 /// Grants operations of the accounts whose limits this proxy coordinates.
 ///
-/// The coordinators of an account hold fixed shares of its limit and never speak
-/// to each other, so that the sum stays within the limit whoever is cut off from
-/// whom. What can go over it is only a share held twice, by proxies that do not
-/// agree on who else there is; so one that takes another's place waits first.
+/// The coordinators of an account hold fixed shares of its limit and do not communicate, so that the sum of their
+/// grants stays within the limit under any network partition. It can exceed the limit only while two proxies that
+/// know different sets of proxies hold the same share; a proxy that takes over a share therefore waits for
+/// `takeover_delay` before it grants any of it.
 class limit_coordinator {
 public:
     using time_point = boot_clock::time_point;
 
-    /// With `first_start` no process of this deployment granted anything before.
+    /// `first_start` says that no process of this deployment has granted anything before.
     limit_coordinator(std::string self, limit_bound bound, bool first_start = false)
         : m_self{std::move(self)}
         , m_bound{bound}
         , m_first_start{first_start} {}
 
-    /// The proxies that there are, this one among them. Where they are not known
-    /// to be all, this one may take itself for a coordinator that it is not, and
-    /// grants nothing.
+    /// Sets the known proxies, including this one. Until the first `complete` list nothing is granted: with a partial
+    /// one this proxy could wrongly consider itself a coordinator.
     void set_proxies(std::vector<std::string> names, time_point now, bool complete = true);
 
-    /// Grants one operation of an account, or says why not.
+    /// Takes one operation from this proxy's share of an account's limit.
     [[nodiscard]] grant_response ask(std::string_view account, const accounts::authorizer& authorizer, time_point now);
 
-    /// The proxies that coordinate an account's limit.
+    /// Names of the proxies that coordinate an account's limit.
     [[nodiscard]] std::vector<std::string> coordinators(std::string_view account,
                                                         const accounts::rate_limit& limit) const;
 
-    /// How long a proxy that takes another's place grants nothing. The other is
-    /// taken for gone after it was silent for 8 s; if it was merely cut off, its
-    /// configuration's lease has ended by then or does within this.
-    static constexpr std::chrono::milliseconds takeover{5000};
+    /// How long a proxy that takes over a share grants nothing of it. The previous holder is considered gone after 8 s
+    /// of silence; if it is only partitioned, its configuration lease has expired by then or expires within this time.
+    static constexpr std::chrono::milliseconds takeover_delay{5000};
 
 private:
-    struct share_here {
-        bool mine{false};
-        /// For which limit and which proxies that was worked out.
+    struct share_state {
+        /// Whether this proxy coordinates the account.
+        bool coordinated{false};
+        /// The limit and the version of the proxy list that the share was derived from.
         accounts::rate_limit limit;
         std::uint64_t generation{0};
         token_bucket bucket;
     };
 
-    /// Proxies that were known until `replaced_at`.
-    struct former_proxies {
+    /// A proxy list that was in use until `replaced_at`.
+    struct former_list {
         std::vector<std::string> names;
         time_point replaced_at;
     };
 
-    [[nodiscard]] bool chosen_among(std::span<const std::string> proxies, const accounts::account& who) const;
-    [[nodiscard]] limit_share share_now(const accounts::account& who) const;
-    [[nodiscard]] time_point holds_since(const accounts::account& who) const;
-    [[nodiscard]] token_bucket bucket_for(const accounts::account& who) const;
-    share_here& share_for(const accounts::account& who, time_point now);
+    [[nodiscard]] bool is_coordinator_among(std::span<const std::string> proxies, const accounts::account& who) const;
+    [[nodiscard]] limit_share current_share(const accounts::account& who) const;
+    [[nodiscard]] time_point share_held_since(const accounts::account& who) const;
+    [[nodiscard]] token_bucket make_bucket(const accounts::account& who) const;
+    share_state& share_for(const accounts::account& who, time_point now);
 
     std::string m_self;
     limit_bound m_bound;
     bool m_first_start;
     std::vector<std::string> m_proxies;
     std::uint64_t m_generation{0};
-    /// Whether all of them were known once, and since when.
+    /// Whether a complete proxy list was ever set, and since when.
     bool m_complete{false};
-    time_point m_known_at{};
-    /// Replaced within the last `takeover`; older ones are forgotten, and with
-    /// them who held which share until `m_forgotten_until`.
-    std::deque<former_proxies> m_former;
-    time_point m_forgotten_until{};
-    std::map<std::string, share_here, std::less<>> m_shares;
+    time_point m_complete_since{};
+    /// Lists replaced within the last `takeover_delay`. Older ones are discarded; who held which share up to
+    /// `m_discarded_until` is then unknown.
+    std::deque<former_list> m_former_lists;
+    time_point m_discarded_until{};
+    std::map<std::string, share_state, std::less<>> m_shares;
 };
 
 } // namespace cornellever::limits
--- a/src/cornellever/limits/token_bucket.hpp
+++ b/src/cornellever/limits/token_bucket.hpp
@@ -8,61 +8,60 @@
 
 namespace cornellever::limits {
 
-/// Grants operations one by one within a share of a limit.
+/// Token bucket that grants operations one by one within a share of a limit.
 class token_bucket {
 public:
     using time_point = boot_clock::time_point;
 
-    /// Holds `level` to begin with and grants nothing before `from`.
+    /// Starts with `level` tokens and grants nothing before `from`.
     token_bucket(const limit_share& share, double level, time_point from)
         : m_share{share}
         , m_level{std::min(level, share.capacity)}
-        , m_at{from} {}
+        , m_refilled_at{from} {}
 
-    /// Another limit holds from `now` on. What was saved up under the one before
-    /// counts no further than the new one allows.
-    void set(const limit_share& share, time_point now) {
+    /// Replaces the share from `now` on. Tokens saved up under the previous share are cut to the new bucket size.
+    void set_share(const limit_share& share, time_point now) {
         if (share != m_share) {
-            fill(now);
+            refill(now);
             m_share = share;
             m_level = std::min(m_level, m_share.capacity);
         }
     }
 
-    /// Takes one operation; whether there was one.
+    /// Takes one token; false when none is available.
     bool take(time_point now) {
-        fill(now);
-        if (now < m_at || m_level < 1.0) {
+        refill(now);
+        if (now < m_refilled_at || m_level < 1.0) {
             return false;
         }
         m_level -= 1.0;
         return true;
     }
 
-    /// How long until there is one.
+    /// Time until a token is available, at most 5 s.
     [[nodiscard]] std::chrono::milliseconds wait(time_point now) const {
-        constexpr std::chrono::milliseconds longest{5000};
+        constexpr std::chrono::milliseconds max_wait{5000};
         if (m_share.per_second <= 0.0 || m_share.capacity < 1.0) {
-            return longest;
+            return max_wait;
         }
         const std::chrono::duration<double> missing{std::max(0.0, 1.0 - m_level) / m_share.per_second};
-        const auto due =
-            std::chrono::ceil<std::chrono::milliseconds>(missing + std::max(m_at - now, time_point::duration{0}));
-        return std::min(due, longest);
+        const auto due = std::chrono::ceil<std::chrono::milliseconds>(
+            missing + std::max(m_refilled_at - now, time_point::duration{0}));
+        return std::min(due, max_wait);
     }
 
 private:
-    void fill(time_point now) {
-        if (now > m_at) {
-            const double seconds = std::chrono::duration<double>(now - m_at).count();
+    void refill(time_point now) {
+        if (now > m_refilled_at) {
+            const double seconds = std::chrono::duration<double>(now - m_refilled_at).count();
             m_level = std::min(m_share.capacity, m_level + m_share.per_second * seconds);
-            m_at = now;
+            m_refilled_at = now;
         }
     }
 
     limit_share m_share;
     double m_level;
-    time_point m_at;
+    time_point m_refilled_at;
 };
 
 } // namespace cornellever::limits
--- a/src/cornellever/limits/udp_grant_channel.hpp
+++ b/src/cornellever/limits/udp_grant_channel.hpp
@@ -13,40 +13,40 @@
 
 namespace cornellever::limits {
 
-/// Asks other proxies for grants and answers theirs, one datagram each. A model
-/// of `grant_channel`.
+/// Exchanges grant messages with other proxies, one datagram each. A model of `grant_channel`.
 class udp_grant_channel {
 public:
-    /// What this proxy answers to a question for an account.
-    using answerer = std::function<grant_response(const std::string& account)>;
+    /// Produces the response to another proxy's request for an account.
+    using request_handler = std::function<grant_response(const std::string& account)>;
 
-    udp_grant_channel(asio::any_io_executor executor, answerer answer)
+    udp_grant_channel(asio::any_io_executor executor, request_handler handler)
         : m_executor{executor}
         , m_socket{executor}
-        , m_answer{std::move(answer)} {}
+        , m_handler{std::move(handler)} {}
 
-    /// Binds and begins to answer; `unavailable` when the address is taken.
-    [[nodiscard]] result<void> start(const asio::ip::udp::endpoint& where);
+    /// Binds the socket and starts to respond to requests; `unavailable` when the address cannot be bound.
+    [[nodiscard]] result<void> start(const asio::ip::udp::endpoint& address);
 
+    /// Requests a grant; nothing when no response arrives by `until`.
     asio::awaitable<std::optional<grant_response>> ask(asio::ip::udp::endpoint to, std::string account,
                                                        boot_clock::time_point until);
 
 private:
-    struct pending {
-        asio::steady_timer due;
-        std::optional<grant_response> answer{};
+    struct pending_request {
+        asio::steady_timer deadline;
+        std::optional<grant_response> response{};
     };
 
     asio::awaitable<void> receive();
-    void take(std::string_view bytes, const asio::ip::udp::endpoint& from);
+    void handle_datagram(std::string_view bytes, const asio::ip::udp::endpoint& from);
 
-    static constexpr std::size_t largest_message_bytes = 512;
+    static constexpr std::size_t max_message_bytes = 512;
 
     asio::any_io_executor m_executor;
     asio::ip::udp::socket m_socket;
-    answerer m_answer;
+    request_handler m_handler;
     std::uint64_t m_last_nonce{0};
-    std::map<std::uint64_t, pending*> m_pending;
+    std::map<std::uint64_t, pending_request*> m_pending;
 };
 
 } // namespace cornellever::limits
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -110,13 +110,13 @@
     for (const auto& limit : {accounts::rate_limit{2, 2}, accounts::rate_limit{35, 35}, accounts::rate_limit{191, 191},
                               accounts::rate_limit{0.2, 1}, accounts::rate_limit{5000, 100}}) {
         for (const std::size_t proxies : {1U, 3U, 7U, 84U, 3500U}) {
-            const auto number = coordinators_of(limit, bound, proxies);
+            const auto number = coordinator_count(limit, bound, proxies);
             const auto share = share_of(limit, bound, number);
             const auto all = static_cast<double>(number);
             const double seconds = std::chrono::duration<double>(bound.window).count();
             // All of them start twice in the window, and are full before.
-            const double most = all * (share.per_second * seconds + share.capacity + 2 * share.at_start);
-            BOOST_TEST(most <= bound.most(limit) + 1e-6);
+            const double most = all * (share.per_second * seconds + share.capacity + 2 * share.initial_level);
+            BOOST_TEST(most <= bound.max_operations(limit) + 1e-6);
             BOOST_TEST(number <= proxies);
             BOOST_TEST(share.capacity >= 1.0);
         }
@@ -173,7 +173,7 @@
                 }
             }
         }
-        BOOST_TEST(static_cast<double>(most_in_a_window(granted)) <= bound.most(limit), "seed " << seed);
+        BOOST_TEST(static_cast<double>(most_in_a_window(granted)) <= bound.max_operations(limit), "seed " << seed);
     }
 }
 
@@ -233,7 +233,7 @@
     BOOST_TEST((desk.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
     desk.set_proxies(rest, start + 10s);
     BOOST_TEST((desk.ask("yard", authorizer, start + 11s).outcome == grant_outcome::used_up));
-    BOOST_TEST((desk.ask("yard", authorizer, start + 10s + limit_coordinator::takeover + 1s).outcome ==
+    BOOST_TEST((desk.ask("yard", authorizer, start + 10s + limit_coordinator::takeover_delay + 1s).outcome ==
                 grant_outcome::granted));
 }
 
@@ -266,7 +266,7 @@
             granted.push_back(now);
         }
     }
-    BOOST_TEST(static_cast<double>(granted.size()) <= bound.most({1, 1}));
+    BOOST_TEST(static_cast<double>(granted.size()) <= bound.max_operations({1, 1}));
     BOOST_TEST(!granted.empty());
 }
 
