--- a/src/cornellever/config/ini_text.hpp
+++ b/src/cornellever/config/ini_text.hpp
@@ -6,8 +6,8 @@
 
 namespace cornellever::config {
 
-/// The configuration as one INI file that reads back to the same
-/// configuration; what `ctl fetch` gives an operator to change.
+/// Writes the configuration as one INI file that parses to the same configuration. `ctl fetch` hands it to an operator
+/// for editing.
 [[nodiscard]] std::string to_ini(const cluster& config);
 
 } // namespace cornellever::config
--- a/src/cornellever/config/json.cpp
+++ b/src/cornellever/config/json.cpp
@@ -113,8 +113,8 @@
 } // namespace
 
 result<cluster> from_json(const Json::Value& value) {
-    // A stored row of another shape must not take the process down: jsoncpp
-    // throws when a field has another type than the one asked for.
+    // A malformed row in the store must not terminate the process: jsoncpp throws when a field does not have the
+    // requested type.
     try {
         return cluster_from_json(value);
     } catch (const Json::Exception& problem) {
--- a/src/cornellever/config/json.hpp
+++ b/src/cornellever/config/json.hpp
@@ -10,7 +10,7 @@
 /// The configuration as the JSON stored in the platform's table.
 [[nodiscard]] Json::Value to_json(const cluster& config);
 
-/// Reads the stored JSON back; `bad_request` names the first field that is off.
+/// Reads the stored JSON; `bad_request` describes the first malformed field.
 [[nodiscard]] result<cluster> from_json(const Json::Value& value);
 
 } // namespace cornellever::config
--- a/src/cornellever/config/load.cpp
+++ b/src/cornellever/config/load.cpp
@@ -26,20 +26,20 @@
 public:
     explicit builder(load_result& out) : m_out{out} {}
 
-    void take(const ini::entry& item) {
+    void add(const ini::entry& item) {
         if (item.key.find_first_of(" \t") != std::string::npos) {
-            // INI also splits at ':', so "address 127.0.0.1:7101" reads as
-            // the key "address 127.0.0.1": say what the operator forgot.
+            // INI also splits at ':', so "address 127.0.0.1:7101" parses as the key "address 127.0.0.1". The message
+            // points to the missing '='.
             report(item.where, "'" + item.key + ":" + item.value + "' is not key = value: is '=' missing?");
             return;
         }
         const auto [kind, name] = split_section(item.section);
         if (kind == "cluster" && name.empty()) {
-            take_cluster(item);
+            add_cluster_key(item);
         } else if (kind == "service" && !name.empty()) {
-            take_service(name, item);
+            add_service_key(name, item);
         } else if (kind == "instance" && !name.empty()) {
-            take_instance(name, item);
+            add_instance_key(name, item);
         } else {
             report(item.where, "unknown section [" + item.section +
                                    "]: expected [cluster], [service NAME] or [instance SERVICE/DATABASE/NAME]");
@@ -85,9 +85,10 @@
         m_out.findings.push_back(ini::finding{where, std::move(message)});
     }
 
-    bool first_time(const ini::entry& item) {
+    /// Reports a key that one file sets twice; a later file may override it.
+    bool is_first_assignment(const ini::entry& item) {
         const auto key = item.section + "\n" + item.key;
-        const auto [found, inserted] = m_seen.emplace(key, item.where);
+        const auto [found, inserted] = m_assigned.emplace(key, item.where);
         if (!inserted && found->second.file == item.where.file) {
             report(item.where, "'" + item.key + "' is set twice in [" + item.section + "] (first at line " +
                                    std::to_string(found->second.line) + ")");
@@ -97,7 +98,7 @@
         return true;
     }
 
-    /// Reports each of `names` that cannot be one.
+    /// Reports each of `names` that is not a valid name.
     void check_names(const ini::origin& where, std::string_view what, std::span<const std::string> names) {
         for (const auto& name : names) {
             if (!is_name(name)) {
@@ -115,8 +116,8 @@
         return true;
     }
 
-    void take_cluster(const ini::entry& item) {
-        if (!first_time(item)) {
+    void add_cluster_key(const ini::entry& item) {
+        if (!is_first_assignment(item)) {
             return;
         }
         if (item.key == "name") {
@@ -125,19 +126,19 @@
         } else if (item.key == "zones") {
             m_out.config.zones = split_list(item.value);
             check_names(item.where, "zone", m_out.config.zones);
-            m_zones_where = item.where;
+            m_zones_origin = item.where;
         } else {
             report(item.where, "unknown key '" + item.key + "' in [cluster]: expected name or zones");
         }
     }
 
-    void take_service(const std::string& name, const ini::entry& item) {
+    void add_service_key(const std::string& name, const ini::entry& item) {
         auto& pending = m_services[name];
         if (pending.value.name.empty()) {
             pending.value.name = name;
             pending.where = item.where;
         }
-        if (!first_time(item)) {
+        if (!is_first_assignment(item)) {
             return;
         }
         std::int64_t number = 0;
@@ -163,10 +164,10 @@
         }
     }
 
-    void take_instance(const std::string& name, const ini::entry& item) {
+    void add_instance_key(const std::string& name, const ini::entry& item) {
         instance_path path;
         if (!split_instance_path(name, path)) {
-            return; // reported once for the header by check_section
+            return; // check_section reports it once, for the header
         }
         auto& pending = m_instances[name];
         if (pending.value.name.empty()) {
@@ -174,13 +175,13 @@
             pending.value.name = path.instance;
             pending.where = item.where;
         }
-        if (!first_time(item)) {
+        if (!is_first_assignment(item)) {
             return;
         }
-        take_instance_key(pending, item);
+        set_instance_key(pending, item);
     }
 
-    void take_instance_key(pending_instance& pending, const ini::entry& item) {
+    void set_instance_key(pending_instance& pending, const ini::entry& item) {
         std::int64_t number = 0;
         if (item.key == "zone") {
             pending.value.zone = item.value;
@@ -206,7 +207,7 @@
 
     void check_zones() {
         if (m_out.config.zones.empty()) {
-            report(m_zones_where, "no zones: [cluster] needs zones = NAME, NAME, ...");
+            report(m_zones_origin, "no zones: [cluster] needs zones = NAME, NAME, ...");
         }
     }
 
@@ -268,10 +269,10 @@
     }
 
     load_result& m_out;
-    std::map<std::string, ini::origin> m_seen;
+    std::map<std::string, ini::origin> m_assigned;
     std::map<std::string, pending_service> m_services;
     std::map<std::string, pending_instance> m_instances;
-    ini::origin m_zones_where{"(configuration)", 0};
+    ini::origin m_zones_origin{"(configuration)", 0};
 };
 
 } // namespace
@@ -284,7 +285,7 @@
         build.check_section(header);
     }
     for (const auto& item : document.entries) {
-        build.take(item);
+        build.add(item);
     }
     build.finish();
     std::ranges::stable_sort(out.findings, [](const auto& left, const auto& right) {
--- a/src/cornellever/config/load.hpp
+++ b/src/cornellever/config/load.hpp
@@ -8,7 +8,7 @@
 
 namespace cornellever::config {
 
-/// A checked configuration, or every finding that refuses it.
+/// A valid configuration, or all findings for which it is rejected.
 struct load_result {
     cluster config;
     std::vector<ini::finding> findings;
@@ -16,11 +16,11 @@
     [[nodiscard]] bool ok() const noexcept { return findings.empty(); }
 };
 
-/// Checks a merged INI document and builds the cluster configuration.
-/// Every finding is collected; a configuration with any finding is refused whole.
+/// Validates a merged INI document and builds the cluster configuration. All findings are collected; a configuration
+/// with any finding is rejected as a whole.
 [[nodiscard]] load_result from_document(const ini::document& document);
 
-/// Reads and checks a folder of INI files merged in name order.
+/// Reads and validates the INI files of a folder, merged in the order of their names.
 [[nodiscard]] load_result load_folder(const std::filesystem::path& folder);
 
 } // namespace cornellever::config
--- a/src/cornellever/config/model.hpp
+++ b/src/cornellever/config/model.hpp
@@ -8,20 +8,20 @@
 
 namespace cornellever::config {
 
-/// Default bound on how old a replica read may be, in milliseconds.
+/// Default staleness bound of replica reads, in milliseconds.
 inline constexpr std::int64_t default_max_staleness_ms = 1000;
 
-/// Default wait for a replica to catch up with a session before its read
-/// goes to the primary.
+/// Default time in milliseconds that a read waits for a replica to catch up with its session before it goes to the
+/// primary.
 inline constexpr std::int64_t default_replica_wait_ms = 30;
 
-/// Default time a caller may leave a transaction idle.
+/// Default time in milliseconds after which an idle transaction is rolled back.
 inline constexpr std::int64_t default_transaction_idle_ms = 5000;
 
-/// Default connection budget of one backend instance.
+/// Default maximum number of connections to one backend instance.
 inline constexpr int default_connections = 16;
 
-/// One backend server instance of a database, in a zone (data centre).
+/// One backend server of a database; its zone is the data centre that it runs in.
 struct instance {
     std::string name;
     std::string zone;
@@ -29,30 +29,30 @@
     int connections{default_connections};
 };
 
-/// One database of a service and its instances; which instance is primary
-/// is learnt from the instances themselves, never from configuration.
+/// One database of a service and its instances. Which instance is the primary is never configured: the instances
+/// report it themselves.
 struct database {
     std::string name;
     std::vector<instance> instances;
 };
 
-/// A database service as operators declare it.
+/// A database service as declared by operators.
 struct service {
     std::string name;
-    /// How old a replica read may be.
+    /// Staleness bound of replica reads.
     std::chrono::milliseconds max_staleness{default_max_staleness_ms};
-    /// How long a read waits for a replica to reach the session's last write.
+    /// How long a read waits for a replica to apply the session's last write before it goes to the primary.
     std::chrono::milliseconds replica_wait{default_replica_wait_ms};
-    /// A transaction idle for longer is rolled back.
+    /// Idle time after which a transaction is rolled back.
     std::chrono::milliseconds transaction_idle{default_transaction_idle_ms};
-    /// Kinds of request that may never be repeated: callers must give them
-    /// a request id, and each id takes effect at most once.
+    /// Kinds of request that must not be executed twice: callers must send a request id with them, and each id takes
+    /// effect at most once.
     std::vector<std::string> non_repeatable;
     std::vector<database> databases;
 };
 
-/// The whole configuration that proxies follow. `version` is given by the
-/// platform's table when the configuration is applied; 0 before that.
+/// The whole configuration that proxies follow. The platform's table assigns `version` when the configuration is
+/// applied; it is 0 before that.
 struct cluster {
     std::uint64_t version{0};
     std::string name;
--- a/src/cornellever/config/parsing.hpp
+++ b/src/cornellever/config/parsing.hpp
@@ -7,22 +7,22 @@
 
 namespace cornellever::config {
 
-/// The kind and name of a section header such as `service stockbook`.
+/// The kind and name in a section header such as `service stockbook`.
 struct section_name {
     std::string kind;
     std::string name;
 };
 
-/// Splits a section header at its first blank.
+/// Splits a section header at the first blank.
 [[nodiscard]] section_name split_section(std::string_view section);
 
-/// The items of a list separated by commas, without the blanks around them.
+/// Splits a comma-separated list; blanks around items are removed, empty items skipped.
 [[nodiscard]] std::vector<std::string> split_list(std::string_view text);
 
-/// Whether `text` can be a name: it is used in keys, sections and logs.
+/// Whether `text` is a valid name: letters, digits, '.', '_' and '-' are safe in keys, section headers and logs.
 [[nodiscard]] bool is_name(std::string_view text);
 
-/// Reads a whole number; false when `text` is none.
+/// Parses a decimal integer; false when `text` is not one.
 [[nodiscard]] bool parse_int(std::string_view text, std::int64_t& out);
 
 /// The parts of an instance name `service/database/instance`.
@@ -32,7 +32,7 @@
     std::string instance;
 };
 
-/// Splits an instance name; false when it has not three parts.
+/// Splits an instance name; false unless it has exactly three parts that are not empty.
 [[nodiscard]] bool split_instance_path(std::string_view text, instance_path& out);
 
 } // namespace cornellever::config
--- a/src/cornellever/ini/document.hpp
+++ b/src/cornellever/ini/document.hpp
@@ -5,7 +5,7 @@
 
 namespace cornellever::ini {
 
-/// Where a line came from: file name as given and 1-based line number.
+/// The source of a line: file name as passed by the caller, and 1-based line number.
 struct origin {
     std::string file;
     int line{0};
@@ -19,15 +19,14 @@
     origin where;
 };
 
-/// Something wrong with the input, at the place that shows it.
+/// A problem in the input and its location.
 struct finding {
     origin where;
     std::string message;
 };
 
-/// The entries of one or more INI files in reading order, with every
-/// syntax finding met on the way. Sections with no entries are kept in
-/// `sections` so that an empty section can still be reported.
+/// The entries of one or more INI files in reading order, and all syntax errors. `sections` holds every section
+/// header, so that an empty section can be reported as well.
 struct document {
     std::vector<entry> entries;
     std::vector<entry> sections;
--- a/src/cornellever/ini/reader.cpp
+++ b/src/cornellever/ini/reader.cpp
@@ -12,11 +12,10 @@
 
 namespace {
 
-/// The longest line that fits inih's buffer (INI_MAX_LINE, less line end).
+/// The longest line that fits inih's buffer: INI_MAX_LINE less the line end.
 constexpr std::size_t max_line_bytes = 198;
 
-/// Feeds inih one line at a time from `lines`, starting at `next`, after an
-/// optional synthetic section header that restores the section in force.
+/// Line source for inih: an optional synthetic header that restores the current section, then `lines` from `next` on.
 struct line_feed {
     const std::vector<std::string>* lines{nullptr};
     std::size_t next{0};
@@ -69,13 +68,13 @@
         return {};
     }
     auto name = std::string{line.substr(first + 1, close - first - 1)};
-    // inih ends a line at an inline comment, so this header has no end for it.
+    // inih cuts a line at an inline comment, so it sees no closing bracket.
     const bool has_comment = name.find(" ;") != std::string::npos || name.find("\t;") != std::string::npos;
     return has_comment ? std::string{} : name;
 }
 
-/// What keeps inih from reading a line as it stands; empty for nothing.
-std::string_view unreadable(std::string_view line) {
+/// Why inih cannot parse a line unaltered; empty when it can.
+std::string_view unreadable_reason(std::string_view line) {
     if (line.size() > max_line_bytes) {
         return "the line is too long";
     }
@@ -83,10 +82,10 @@
     return std::ranges::any_of(line, is_control) ? "the line holds a control character" : "";
 }
 
-/// Reports the lines that inih would cut or misread, and blanks them.
-void take_out_unreadable(std::vector<std::string>& lines, std::string_view file, document& into) {
+/// Reports and blanks the lines that inih would truncate or misread.
+void blank_unreadable_lines(std::vector<std::string>& lines, std::string_view file, document& into) {
     for (std::size_t index = 0; index < lines.size(); ++index) {
-        const auto reason = unreadable(lines[index]);
+        const auto reason = unreadable_reason(lines[index]);
         if (!reason.empty()) {
             into.findings.push_back(
                 finding{origin{std::string{file}, static_cast<int>(index) + 1}, std::string{reason}});
@@ -104,7 +103,7 @@
     }
 }
 
-std::string section_in_force(const std::vector<std::string>& lines, std::size_t before, std::string fallback) {
+std::string section_before(const std::vector<std::string>& lines, std::size_t before, std::string fallback) {
     for (std::size_t index = before; index-- > 0;) {
         auto name = section_header_of(lines[index]);
         if (!name.empty()) {
@@ -114,7 +113,7 @@
     return fallback;
 }
 
-void keep_before(const document& pass, std::size_t line_index, document& into) {
+void append_entries_before(const document& pass, std::size_t line_index, document& into) {
     for (const auto& item : pass.entries) {
         if (static_cast<std::size_t>(item.where.line) <= line_index) {
             into.entries.push_back(item);
@@ -139,7 +138,7 @@
 
 void read_text(std::string_view text, std::string_view file, document& into) {
     auto lines = split_lines(text);
-    take_out_unreadable(lines, file, into);
+    blank_unreadable_lines(lines, file, into);
     record_sections(lines, file, into);
     std::size_t start = 0;
     std::string section;
@@ -149,26 +148,26 @@
                           &pass, section};
         const int failed_at = ini_parse_stream(feed_line, &state.feed, on_entry, &state);
         if (failed_at <= 0) {
-            keep_before(pass, lines.size(), into);
+            append_entries_before(pass, lines.size(), into);
             return;
         }
         // inih counts the synthetic header as a line of its own.
         const std::size_t first_line = section.empty() ? 1 : 2;
         if (static_cast<std::size_t>(failed_at) < first_line) {
-            // inih refused the synthetic header itself: go on without it.
+            // inih rejected the synthetic header itself: retry without it.
             section.clear();
             continue;
         }
         const auto offset = static_cast<std::size_t>(failed_at) - first_line;
         const auto bad = start + offset;
-        // inih goes on past the error; what follows is read again by the next pass.
-        keep_before(pass, bad, into);
+        // inih continues after the error; the next pass parses the following lines again.
+        append_entries_before(pass, bad, into);
         if (bad >= lines.size()) {
             return;
         }
         into.findings.push_back(finding{origin{std::string{file}, static_cast<int>(bad) + 1},
                                         "not a section header or key = value line: '" + lines[bad] + "'"});
-        section = section_in_force(lines, bad, section);
+        section = section_before(lines, bad, section);
         start = bad + 1;
     }
 }
--- a/src/cornellever/limits/limiter.hpp
+++ b/src/cornellever/limits/limiter.hpp
@@ -77,7 +77,8 @@
     /// Number of coordinators that may fail to respond before an operation is given up. Those that respond are asked
     /// one after another, since one share may be used up while others are not.
     static constexpr std::size_t max_unanswered = 3;
-    /// Covers a round trip, which takes longer on a busy VM; meanwhile the caller waits, whose latency target may be 100 ms.
+    /// Covers a round trip, which takes longer on a busy VM. The caller waits meanwhile, with a latency target that may
+    /// be 100 ms.
     static constexpr std::chrono::milliseconds response_timeout{40};
     /// How long a coordinator that did not respond is asked last. When a partition separates two thirds of many
     /// proxies, each operation meets different ones; 1 s would be too short to find them all.
