--- a/src/cornellever/limits/limit_share.hpp
+++ b/src/cornellever/limits/limit_share.hpp
@@ -29,7 +29,7 @@
 struct limit_share {
     /// Refill rate in operations per second.
     double per_second{0.0};
-    /// Bucket size: operations that may come at once.
+    /// Bucket size: operations that may arrive at once.
     double capacity{0.0};
     /// Bucket level after a process start, when it is unknown what the previous process granted.
     double initial_level{0.0};
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -31,7 +31,7 @@
     return out;
 }
 
-/// Databases that need a key, and another one, `open`, that does not.
+/// Databases that need a key, and the database `open`, which does not.
 routing::configuration with_accounts(std::uint64_t version) {
     auto out = three_databases(version);
     for (auto& [name, route] : out.routes) {
@@ -45,19 +45,19 @@
     return out;
 }
 
-/// The same after a key was taken away.
-routing::configuration without_key(std::uint64_t version, std::string_view taken) {
+/// The same after a key was revoked.
+routing::configuration without_key(std::uint64_t version, std::string_view revoked) {
     auto out = with_accounts(version);
-    accounts::directory left;
+    accounts::directory remaining;
     for (const auto& [name, item] : out.accounts.all()) {
-        left.add(item);
+        remaining.add(item);
     }
     for (const auto& [digest, name] : out.accounts.keys()) {
-        if (digest != key_digest::of(taken)) {
-            left.add_key(digest, name);
+        if (digest != key_digest::of(revoked)) {
+            remaining.add_key(digest, name);
         }
     }
-    out.accounts = left;
+    out.accounts = remaining;
     return out;
 }
 
@@ -74,7 +74,7 @@
     return script.answers[answer].why();
 }
 
-/// For whom the connections were opened on which a request was met.
+/// The accounts that own the connections on which a request arrived.
 std::set<std::string> accounts_of(proxy_in_memory& proxy, const std::string& id) {
     std::set<std::string> out;
     for (auto& [name, server] : proxy.connector.servers) {
@@ -89,7 +89,7 @@
 
 BOOST_AUTO_TEST_SUITE(client_accounts)
 
-BOOST_AUTO_TEST_CASE(a_digest_reads_as_it_was_written) {
+BOOST_AUTO_TEST_CASE(a_digest_parses_back_from_its_text) {
     const auto digest = key_digest::of("a key");
     BOOST_TEST((key_digest::parse(digest.text()).value() == digest));
     BOOST_TEST((digest != key_digest::of("another")));
@@ -100,9 +100,8 @@
     BOOST_TEST(!key_digest::parse(digest.text() + "00").has_value());
 }
 
-// Two accounts were given the same key by mistake. Whoever sends it must not
-// see the data of either in the other's name.
-BOOST_AUTO_TEST_CASE(a_key_of_two_accounts_stands_for_none) {
+// Two accounts were given the same key by mistake. Its sender must not get access to the data of either.
+BOOST_AUTO_TEST_CASE(a_key_of_two_accounts_identifies_neither) {
     auto all = two_accounts();
     all.add_key(key_digest::of("key-yard"), "shop");
     BOOST_TEST(all.find_by_key(key_digest::of("key-yard")) == nullptr);
@@ -112,19 +111,19 @@
     BOOST_TEST(all.find_by_key(key_digest::of("key-yard-2"))->name == "yard");
 }
 
-BOOST_AUTO_TEST_CASE(a_key_given_twice_to_one_account_holds) {
+BOOST_AUTO_TEST_CASE(a_key_added_twice_to_one_account_identifies_it) {
     auto all = two_accounts();
     all.add_key(key_digest::of("key-yard"), "yard");
     BOOST_TEST(all.find_by_key(key_digest::of("key-yard"))->name == "yard");
 }
 
-BOOST_AUTO_TEST_CASE(a_key_of_an_account_that_is_not_there_stands_for_none) {
+BOOST_AUTO_TEST_CASE(a_key_of_a_missing_account_identifies_none) {
     auto all = two_accounts();
     all.add_key(key_digest::of("lost"), "nobody");
     BOOST_TEST(all.find_by_key(key_digest::of("lost")) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(ten_thousand_accounts_are_told_apart) {
+BOOST_AUTO_TEST_CASE(ten_thousand_accounts_are_distinguished) {
     accounts::directory all;
     for (int i = 0; i < 10'000; ++i) {
         const auto name = "account-" + std::to_string(i);
@@ -136,9 +135,9 @@
     BOOST_TEST(all.find_by_key(key_digest::of("key-of-account-10000")) == nullptr);
 }
 
-// A key is taken away while a proxy can hear nobody. It has to stop by itself
-// before the bound, whatever it still believes.
-BOOST_AUTO_TEST_CASE(a_lease_ends_before_the_bound_of_the_last_proof) {
+// A key is revoked while a proxy is partitioned from all others. The proxy must stop accepting it before the bound,
+// although its own copy still contains the key.
+BOOST_AUTO_TEST_CASE(a_lease_expires_within_the_bound_of_the_last_confirmation) {
     accounts::configuration_lease lease{5000ms};
     BOOST_TEST(!lease.is_valid(start));
     lease.confirm_current(start);
@@ -150,11 +149,11 @@
     BOOST_TEST(!lease.is_valid(start + 8000ms));
 }
 
-BOOST_AUTO_TEST_CASE(without_a_bound_a_copy_holds_until_it_is_replaced) {
+BOOST_AUTO_TEST_CASE(a_lease_without_a_bound_never_expires) {
     BOOST_TEST(accounts::configuration_lease{}.is_valid(start + std::chrono::hours{5}));
 }
 
-BOOST_AUTO_TEST_CASE(open_databases_ask_for_neither_key_nor_lease) {
+BOOST_AUTO_TEST_CASE(keyless_databases_need_neither_key_nor_lease) {
     accounts::authorizer authorizer{accounts::configuration_lease{5000ms}};
     authorizer.set_accounts(two_accounts());
     BOOST_TEST(authorizer.ask(true, key_digest::of("whatever"), start).granted());
@@ -164,95 +163,95 @@
     BOOST_TEST(authorizer.ask(false, key_digest::of("key-yard"), start).account_name() == "yard");
 }
 
-// The name of a decision is the account's own text, not a copy that is gone.
-BOOST_AUTO_TEST_CASE(a_decision_names_an_account_with_a_long_name) {
+// A decision must refer to the name stored in the account: a view of a temporary copy would dangle.
+BOOST_AUTO_TEST_CASE(a_decision_refers_to_the_name_stored_in_the_account) {
     const std::string name(80, 'y');
     accounts::directory all;
     all.add({.name = name});
     all.add_key(key_digest::of("key"), name);
     accounts::authorizer authorizer;
     authorizer.set_accounts(all);
-    const auto may = authorizer.ask(false, key_digest::of("key"), start);
-    BOOST_TEST(may.account_name().data() == may.who->name.data());
-    BOOST_TEST(may.account_name() == name);
+    const auto decision = authorizer.ask(false, key_digest::of("key"), start);
+    BOOST_TEST(decision.account_name().data() == decision.who->name.data());
+    BOOST_TEST(decision.account_name() == name);
 }
 
-// All courses of two proxies, the store and one key that is taken away, over ten
-// steps of half a second: a proxy may ask the store, hear from the other, or
-// nothing; answers say how things were when the question was sent. Whatever
-// happens, nobody runs a request of the key at or after the bound.
-BOOST_AUTO_TEST_CASE(no_course_of_two_proxies_runs_a_key_after_the_bound) {
+// Exhaustive model check of two proxies, the store and one revoked key, over seven steps of 500 ms. In each step a
+// proxy reads the store, receives the other's heartbeat, or nothing happens; a response shows the state at the time of
+// its request. In no interleaving may a proxy accept the key at or after the bound.
+BOOST_AUTO_TEST_CASE(no_interleaving_accepts_a_revoked_key_after_the_bound) {
     static constexpr std::chrono::milliseconds step{500};
     static constexpr std::chrono::milliseconds bound{2000};
-    constexpr int steps = 7;
-    constexpr int moves = 5;
+    constexpr int step_count = 7;
+    constexpr int actions = 5;
     struct proxy {
         std::uint64_t version{1};
-        cluster::table_news news;
+        cluster::table_news state;
         accounts::configuration_lease lease{bound};
-        void confirm_current() { lease.confirm_current(news.current_at()); }
+        void confirm_current() { lease.confirm_current(state.current_at()); }
     };
-    const auto ask_store = [](proxy& one, std::uint64_t newest, boot_clock::time_point asked) {
+    const auto read_store = [](proxy& one, std::uint64_t newest, boot_clock::time_point asked) {
         one.version = newest;
-        one.news.note_current(asked);
+        one.state.note_current(asked);
         one.confirm_current();
     };
-    const auto hear = [](proxy& one, const proxy& other, boot_clock::time_point asked, boot_clock::time_point now) {
-        if (other.news.current_at() != boot_clock::time_point{}) {
-            const auto age = asked - other.news.current_at();
-            one.news.hear(other.version, one.version, asked - age, now);
+    const auto receive_heartbeat = [](proxy& one, const proxy& other, boot_clock::time_point asked,
+                                      boot_clock::time_point now) {
+        if (other.state.current_at() != boot_clock::time_point{}) {
+            const auto age = asked - other.state.current_at();
+            one.state.hear(other.version, one.version, asked - age, now);
         }
         one.confirm_current();
     };
-    int courses = 0;
+    int interleavings = 0;
     int ran_late = 0;
     int ran_in_time = 0;
-    std::array<int, steps> course{};
+    std::array<int, step_count> interleaving{};
     for (bool more = true; more;) {
-        ++courses;
+        ++interleavings;
         proxy a;
         proxy b;
-        ask_store(a, 1, start);
-        ask_store(b, 1, start);
-        const auto taken_at = start + step / 2;
-        for (int at = 0; at < steps; ++at) {
+        read_store(a, 1, start);
+        read_store(b, 1, start);
+        const auto revoked_at = start + step / 2;
+        for (int at = 0; at < step_count; ++at) {
             const auto asked = start + step * at;
             const auto now = asked + step - 1ms;
-            const std::uint64_t newest = asked >= taken_at ? 2 : 1;
-            switch (course.at(static_cast<std::size_t>(at))) {
+            const std::uint64_t newest = asked >= revoked_at ? 2 : 1;
+            switch (interleaving.at(static_cast<std::size_t>(at))) {
             case 1:
-                ask_store(a, newest, asked);
+                read_store(a, newest, asked);
                 break;
             case 2:
-                ask_store(b, newest, asked);
+                read_store(b, newest, asked);
                 break;
             case 3:
-                hear(a, b, asked, now);
+                receive_heartbeat(a, b, asked, now);
                 break;
             case 4:
-                hear(b, a, asked, now);
+                receive_heartbeat(b, a, asked, now);
                 break;
             default:
                 break;
             }
             for (const auto* one : {&a, &b}) {
                 const bool runs = one->version == 1 && one->lease.is_valid(now);
-                ran_late += runs && now >= taken_at + bound ? 1 : 0;
-                ran_in_time += runs && now < taken_at + bound ? 1 : 0;
+                ran_late += runs && now >= revoked_at + bound ? 1 : 0;
+                ran_in_time += runs && now < revoked_at + bound ? 1 : 0;
             }
         }
-        std::size_t place = 0;
-        while (place < course.size() && ++course.at(place) == moves) {
-            course.at(place++) = 0;
+        std::size_t digit = 0;
+        while (digit < interleaving.size() && ++interleaving.at(digit) == actions) {
+            interleaving.at(digit++) = 0;
         }
-        more = place < course.size();
+        more = digit < interleaving.size();
     }
-    BOOST_TEST(courses == 78125);
+    BOOST_TEST(interleavings == 78125);
     BOOST_TEST(ran_late == 0);
-    BOOST_TEST(ran_in_time > courses);
+    BOOST_TEST(ran_in_time > interleavings);
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_for_a_peer_keeps_accounts_and_holds_no_key) {
+BOOST_AUTO_TEST_CASE(a_peer_snapshot_contains_accounts_but_no_keys) {
     auto config = with_accounts(3);
     config.accounts.add({.name = "yard", .priority = 2, .limit = accounts::rate_limit{2.5, 4.0}});
     const auto json = cluster::snapshot_of(cluster::pack(config), {}, {});
@@ -268,7 +267,7 @@
     BOOST_TEST(back.config.routes.at("open").keyless);
 }
 
-// A stranger gets to see the stock of a service by a key that he made up.
+// An invented key must not give access to a service's data.
 BOOST_AUTO_TEST_CASE(an_unknown_key_opens_no_session) {
     proxy_with_accounts proxy;
     caller_script caller{.events = {opening_with("strict", "made up"), ask("r", statement_kind::read, "1")}};
@@ -278,8 +277,8 @@
     BOOST_TEST(!caller.welcomed);
 }
 
-// A chef's reservation shows in the books of another account: the connection
-// had been opened for that one, and the server takes all on it for its own.
+// A server attributes every statement to the account that its connection was opened for. A statement sent on another
+// account's connection would be recorded under the wrong account.
 BOOST_AUTO_TEST_CASE(each_statement_runs_on_a_connection_of_its_own_account) {
     proxy_with_accounts proxy;
     std::vector<caller_script> scripts;
@@ -306,10 +305,10 @@
     }
 }
 
-// Callers of one account keep each connection of a proxy busy. One of another,
-// which has a single session, waits until its time is over: each connection that
-// comes free is the large one's and goes to its next request.
-BOOST_AUTO_TEST_CASE(a_small_account_does_not_wait_behind_a_large_one) {
+// The callers of one account keep all connections of a proxy busy. Without fairness the only session of another
+// account starves until its deadline: each connection that becomes free belongs to the large account and goes to that
+// account's next request.
+BOOST_AUTO_TEST_CASE(a_small_account_is_not_starved_by_a_large_one) {
     proxy_with_accounts proxy;
     proxy.host.set_proxies(places(8));
     std::vector<caller_script> scripts(7);
@@ -338,10 +337,10 @@
     BOOST_TEST(served == 240U);
 }
 
-// All VMs lost power. The servers count the connections of the dead processes for
-// 3 s and refuse more; those owners that came back first took what was left beyond
-// their share, and the others' callers were refused.
-BOOST_AUTO_TEST_CASE(a_full_server_is_left_to_those_that_have_no_connection) {
+// After a power loss of all VMs the servers count the connections of the dead processes for another 3 s and refuse
+// more. Connection owners that restart first must not take the remaining connections beyond their share, or the
+// callers of the other owners are refused.
+BOOST_AUTO_TEST_CASE(an_owner_keeps_to_its_share_of_a_full_server) {
     for (const bool full : {false, true}) {
         proxy_in_memory proxy;
         auto config = with_accounts(2);
@@ -374,9 +373,8 @@
     }
 }
 
-// A clerk is dismissed and the key of the till taken away. Her open session went
-// on selling.
-BOOST_AUTO_TEST_CASE(a_key_taken_away_ends_an_open_session) {
+// Revocation also applies to sessions that are already open: they must not run further requests.
+BOOST_AUTO_TEST_CASE(a_revoked_key_ends_an_open_session) {
     proxy_with_accounts proxy;
     caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::read, "1"),
                                     ask("b", statement_kind::read, "1")}};
@@ -387,12 +385,12 @@
     BOOST_TEST((why(caller, 1) == refusal::unknown_key));
     BOOST_TEST(proxy.server("p").of("b").empty());
     BOOST_TEST(caller.closed);
-    // Another key of the same account goes on.
+    // Another key of the same account is still accepted.
     BOOST_TEST(other.answers.at(0).ok());
 }
 
-// As above, inside a transaction: what it wrote must not be kept.
-BOOST_AUTO_TEST_CASE(a_key_taken_away_rolls_an_open_transaction_back) {
+// As above, inside a transaction: its writes must be rolled back.
+BOOST_AUTO_TEST_CASE(a_revoked_key_rolls_back_an_open_transaction) {
     proxy_with_accounts proxy;
     caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::begin),
                                     ask("b", statement_kind::write, "1 x"), ask("c", statement_kind::commit)}};
@@ -404,8 +402,8 @@
     BOOST_TEST(proxy.server("p").count(statement_kind::rollback) >= 1U);
 }
 
-// The key is taken away while its request waits in line for a connection.
-BOOST_AUTO_TEST_CASE(a_key_taken_away_stops_a_request_in_line) {
+// The key is revoked while its request is in the wait queue for a connection.
+BOOST_AUTO_TEST_CASE(a_revoked_key_stops_a_request_in_the_wait_queue) {
     proxy_with_accounts proxy;
     for (const auto* id : {"p", "r1", "r2"}) {
         proxy.server(id).connect_fails = routing::connect_failure::too_many_connections;
@@ -420,9 +418,9 @@
     BOOST_TEST(proxy.server("p").of("a").empty());
 }
 
-// The key goes to another account while a session of it is open: its statements
-// run under the new name, and a transaction of the old one ends.
-BOOST_AUTO_TEST_CASE(a_key_that_moves_to_another_account_takes_no_connection_along) {
+// A key is moved to another account while a session is open. Its next statements run under the new account, and a
+// transaction that was opened under the old account is aborted.
+BOOST_AUTO_TEST_CASE(a_moved_key_uses_no_connection_of_its_old_account) {
     proxy_with_accounts proxy;
     auto moved = without_key(3, "key-yard");
     moved.accounts.add_key(key_digest::of("key-yard"), "shop");
@@ -441,10 +439,9 @@
     BOOST_TEST((accounts_of(proxy, "b") == std::set<std::string>{"shop"}));
 }
 
-// A proxy was cut off from the store and from its peers. Its callers' requests
-// are refused before the bound, with a promise that nothing was run, and those
-// of databases that need no key go on.
-BOOST_AUTO_TEST_CASE(without_a_lease_nothing_of_an_account_runs) {
+// A proxy is partitioned from the store and from its peers. Requests of accounts are refused before the bound, with the
+// guarantee that nothing was executed; requests to databases that need no key continue.
+BOOST_AUTO_TEST_CASE(without_a_valid_lease_no_request_of_an_account_runs) {
     proxy_in_memory proxy{proxy_in_memory::unconfigured{}};
     session::traffic<fake_connector> host{proxy.io.get_executor(), proxy.connector, "a", "here",
                                           accounts::configuration_lease{400ms}};
@@ -477,9 +474,9 @@
     proxy.io.abandon_pending();
 }
 
-// An owner of connections is sent a session by a proxy that has not heard yet
-// that its key was taken away: it looks into its own copy.
-BOOST_AUTO_TEST_CASE(an_owner_takes_nobodys_word_for_a_key) {
+// A proxy that has not learnt of a revocation yet relays a session to a connection owner. The owner must check the key
+// against its own copy of the configuration.
+BOOST_AUTO_TEST_CASE(an_owner_checks_relayed_keys_against_its_own_configuration) {
     proxy_with_accounts proxy;
     caller_script relayed{
         .events = {session::session_opening{
@@ -496,9 +493,9 @@
     BOOST_TEST((later.refusals.front().why == refusal::unknown_key));
 }
 
-// An operator gives a new key out. The proxy that a client comes to knows it,
-// the owner that the session is relayed to hears of it a moment later.
-BOOST_AUTO_TEST_CASE(an_owner_waits_for_the_version_that_a_key_came_with) {
+// An operator adds a key. The proxy that the client connects to has the new configuration; the owner that the session
+// is relayed to receives it a moment later, and must wait for it instead of refusing the key.
+BOOST_AUTO_TEST_CASE(an_owner_waits_for_the_configuration_of_a_relayed_key) {
     proxy_with_accounts proxy;
     auto newer = with_accounts(3);
     newer.accounts.add_key(key_digest::of("new"), "yard");
@@ -511,21 +508,21 @@
     BOOST_TEST(relayed.answers.at(0).ok());
 }
 
-BOOST_AUTO_TEST_CASE(a_request_goes_before_a_less_urgent_one_of_a_more_important_account) {
+BOOST_AUTO_TEST_CASE(request_priority_precedes_account_priority) {
     BOOST_TEST(routing::priority_of(0, routing::lowest_priority) < routing::priority_of(1, 0));
     BOOST_TEST(routing::priority_of(1, 0) < routing::priority_of(1, 1));
 }
 
-// Planted keys are looked for in all that a proxy tells: its state and metrics.
-BOOST_AUTO_TEST_CASE(no_key_shows_in_state_or_metrics) {
+// Searches everything that a proxy exposes, its state and metrics, for known keys.
+BOOST_AUTO_TEST_CASE(no_key_appears_in_state_or_metrics) {
     proxy_with_accounts proxy;
     caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     metrics::exposition page;
     session::expose(proxy.host, page);
-    const auto told = session::describe(proxy.host).toStyledString() + page.text();
+    const auto output = session::describe(proxy.host).toStyledString() + page.text();
     for (const auto* key : {"key-yard", "key-yard-2", "key-shop"}) {
-        BOOST_TEST(told.find(key) == std::string::npos);
+        BOOST_TEST(output.find(key) == std::string::npos);
     }
 }
 
--- a/tests/unit/config_check.cpp
+++ b/tests/unit/config_check.cpp
@@ -18,42 +18,41 @@
     return config::from_document(document);
 }
 
-constexpr auto good_cluster = "[cluster]\nname = vatuwaqa\nzones = walu, laucala, nabua\n";
-constexpr auto good_service = "[service stockbook]\nmax_staleness_ms = 1500\n"
-                              "[instance stockbook/orders/walu]\nzone = walu\naddress = 127.0.0.1:7101\n"
-                              "connections = 16\n";
+constexpr auto valid_cluster = "[cluster]\nname = vatuwaqa\nzones = walu, laucala, nabua\n";
+constexpr auto valid_service = "[service stockbook]\nmax_staleness_ms = 1500\n"
+                               "[instance stockbook/orders/walu]\nzone = walu\naddress = 127.0.0.1:7101\n"
+                               "connections = 16\n";
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_good_folder_has_no_findings) {
-    const auto loaded = check({{"00-cluster.ini", good_cluster}, {"10-stockbook.ini", good_service}});
+BOOST_AUTO_TEST_CASE(a_valid_folder_has_no_findings) {
+    const auto loaded = check({{"00-cluster.ini", valid_cluster}, {"10-stockbook.ini", valid_service}});
     BOOST_TEST(loaded.ok());
     BOOST_TEST(loaded.config.services.size() == 1u);
     BOOST_TEST(loaded.config.services[0].databases[0].instances[0].connections == 16);
 }
 
-// A seasonal operator makes three mistakes in two files: a misspelt key, a
-// zone that does not exist, and a syntax slip. All three are reported at once,
-// each with its file and line, and the whole configuration is refused.
+// Three mistakes in two files: a misspelt key, an unknown zone and a syntax error. All must be reported at once, each
+// with its file and line, and the whole configuration must be rejected.
 BOOST_AUTO_TEST_CASE(three_mistakes_in_two_files_are_all_reported) {
-    const auto loaded = check({{"00-cluster.ini", good_cluster},
+    const auto loaded = check({{"00-cluster.ini", valid_cluster},
                                {"10-stockbook.ini", "[service stockbook]\nmax_stalenes_ms = 1500\n"
                                                     "[instance stockbook/orders/walu]\nzone = suva\n"
                                                     "address = 127.0.0.1:7101\n"},
                                {"20-more.ini", "[instance stockbook/orders/nabua]\nzone = nabua\n"
                                                "address 127.0.0.1:7102\n"}});
     BOOST_TEST(!loaded.ok());
-    std::vector<std::string> places;
+    std::vector<std::string> locations;
     for (const auto& item : loaded.findings) {
-        places.push_back(item.where.file + ":" + std::to_string(item.where.line));
+        locations.push_back(item.where.file + ":" + std::to_string(item.where.line));
     }
-    for (const auto* place : {"10-stockbook.ini:2", "10-stockbook.ini:4", "20-more.ini:3"}) {
-        BOOST_TEST((std::ranges::find(places, place) != places.end()), place << " is reported");
+    for (const auto* location : {"10-stockbook.ini:2", "10-stockbook.ini:4", "20-more.ini:3"}) {
+        BOOST_TEST((std::ranges::find(locations, location) != locations.end()), location << " is reported");
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_key_set_twice_in_one_file_is_a_finding) {
-    const auto loaded = check({{"00-cluster.ini", good_cluster},
+    const auto loaded = check({{"00-cluster.ini", valid_cluster},
                                {"10-stockbook.ini", "[service stockbook]\nmax_staleness_ms = 1\nmax_staleness_ms = 2\n"
                                                     "[instance stockbook/orders/walu]\nzone = walu\n"
                                                     "address = 127.0.0.1:7101\n"}});
@@ -61,8 +60,8 @@
     BOOST_TEST(loaded.findings[0].where.line == 3);
 }
 
-// Found by the fuzzer: a zone named ";[c" read back as a comment.
-BOOST_AUTO_TEST_CASE(names_that_would_not_read_back_are_findings) {
+// A zone named ";[c" would parse back as a comment.
+BOOST_AUTO_TEST_CASE(names_that_would_not_parse_back_are_findings) {
     const auto loaded = check({{"00-cluster.ini", "[cluster]\nname = v\nzones = walu,;[c\n"},
                                {"10-stockbook.ini", "[service stock book]\nnon_repeatable = a b\n"
                                                     "[instance stock book/o*/walu]\nzone = walu\n"
@@ -71,16 +70,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_later_file_overrides_an_earlier_one) {
-    const auto loaded = check({{"00-cluster.ini", good_cluster},
-                               {"10-stockbook.ini", good_service},
+    const auto loaded = check({{"00-cluster.ini", valid_cluster},
+                               {"10-stockbook.ini", valid_service},
                                {"90-override.ini", "[instance stockbook/orders/walu]\nconnections = 8\n"}});
     BOOST_TEST(loaded.ok());
     BOOST_TEST(loaded.config.services[0].databases[0].instances[0].connections == 8);
 }
 
-// Found by the fuzzer: a control character in a section header kept the
-// reader restoring that section for ever; and a long line was cut without a
-// word, so that an operator's list of zones lost its end.
+// A control character in a section header must not make the reader restore that section in an endless loop, and a long
+// line must not be truncated silently, which would lose the end of a list of zones.
 BOOST_AUTO_TEST_CASE(lines_that_cannot_be_read_are_findings) {
     ini::document document;
     const std::string text =
@@ -94,7 +92,7 @@
     BOOST_TEST(lines == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(syntax_errors_after_the_first_are_still_found) {
+BOOST_AUTO_TEST_CASE(syntax_errors_after_the_first_are_reported) {
     ini::document document;
     ini::read_text("[a]\nx = 1\nbroken\ny = 2\nalso broken\n[b]\nz = 3\n", "f.ini", document);
     BOOST_REQUIRE_EQUAL(document.findings.size(), 2u);
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -18,7 +18,7 @@
 const boot_clock::time_point start{std::chrono::hours{1}};
 constexpr limit_bound bound{.window = 5000ms, .overage = 0.1, .slack = 20.0};
 
-accounts::authorizer gate_of(const accounts::rate_limit& limit) {
+accounts::authorizer authorizer_with(const accounts::rate_limit& limit) {
     accounts::directory all;
     all.add({.name = "yard", .limit = limit});
     accounts::authorizer out;
@@ -34,8 +34,8 @@
     return out;
 }
 
-/// The most grants in any window of the bound's length.
-std::size_t most_in_a_window(const std::vector<boot_clock::time_point>& at) {
+/// Maximum number of grants in any window of the bound's length.
+std::size_t max_in_window(const std::vector<boot_clock::time_point>& at) {
     std::size_t most = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < at.size(); ++last) {
@@ -47,25 +47,24 @@
     return most;
 }
 
-/// Proxies that coordinate accounts and are asked directly, on a clock of the
-/// test's own.
-struct fleet {
-    fleet(std::size_t count, const accounts::rate_limit& limit, bool first_start = true)
-        : authorizer{gate_of(limit)}
-        , known{names(count)} {
-        for (const auto& name : known) {
-            desks.emplace(name, limit_coordinator{name, bound, first_start});
-            desks.at(name).set_proxies(known, start);
+/// Proxies that coordinate accounts, called directly and with simulated time.
+struct coordinator_group {
+    coordinator_group(std::size_t count, const accounts::rate_limit& limit, bool first_start = true)
+        : authorizer{authorizer_with(limit)}
+        , proxy_names{names(count)} {
+        for (const auto& name : proxy_names) {
+            members.emplace(name, limit_coordinator{name, bound, first_start});
+            members.at(name).set_proxies(proxy_names, start);
         }
     }
 
-    /// One operation by whoever asks in turn; whether any coordinator granted it.
-    bool admit(boot_clock::time_point now, std::size_t turn) {
-        auto order = desks.at(known.front()).coordinators("yard", *authorizer.accounts().find("yard")->limit);
-        std::ranges::rotate(order, order.begin() + static_cast<std::ptrdiff_t>(turn % order.size()));
+    /// Requests one operation from the coordinators in rotation; true when one of them granted it.
+    bool admit(boot_clock::time_point now, std::size_t rotation) {
+        auto order = members.at(proxy_names.front()).coordinators("yard", *authorizer.accounts().find("yard")->limit);
+        std::ranges::rotate(order, order.begin() + static_cast<std::ptrdiff_t>(rotation % order.size()));
         for (const auto& name : order) {
             if (!unreachable.contains(name) &&
-                desks.at(name).ask("yard", authorizer, now).outcome == grant_outcome::granted) {
+                members.at(name).ask("yard", authorizer, now).outcome == grant_outcome::granted) {
                 return true;
             }
         }
@@ -73,25 +72,25 @@
     }
 
     void restart(const std::string& name, boot_clock::time_point now) {
-        desks.insert_or_assign(name, limit_coordinator{name, bound});
-        desks.at(name).set_proxies(known, now);
+        members.insert_or_assign(name, limit_coordinator{name, bound});
+        members.at(name).set_proxies(proxy_names, now);
     }
 
     accounts::authorizer authorizer;
-    std::vector<std::string> known;
-    std::map<std::string, limit_coordinator, std::less<>> desks;
+    std::vector<std::string> proxy_names;
+    std::map<std::string, limit_coordinator, std::less<>> members;
     std::set<std::string, std::less<>> unreachable;
 };
 
-/// Answers for other proxies as their desks do; none for those that are away.
-struct fake_grants {
-    std::map<std::uint16_t, std::deque<grant_response>> answers;
+/// Responds with the queued responses of each proxy, by port; a proxy without one does not respond.
+struct fake_grant_channel {
+    std::map<std::uint16_t, std::deque<grant_response>> responses;
     std::vector<std::uint16_t> asked;
 
     asio::awaitable<std::optional<grant_response>> ask(asio::ip::udp::endpoint to, std::string,
                                                        boot_clock::time_point until) {
         asked.push_back(to.port());
-        auto& left = answers[to.port()];
+        auto& left = responses[to.port()];
         if (left.empty()) {
             co_await sleep_for(std::chrono::milliseconds{to_ms(until - boot_clock::now())});
             co_return std::nullopt;
@@ -106,7 +105,7 @@
 
 BOOST_AUTO_TEST_SUITE(limits_of_accounts)
 
-BOOST_AUTO_TEST_CASE(shares_of_all_coordinators_are_the_limit_and_no_more) {
+BOOST_AUTO_TEST_CASE(shares_of_all_coordinators_stay_within_the_limit) {
     for (const auto& limit : {accounts::rate_limit{2, 2}, accounts::rate_limit{35, 35}, accounts::rate_limit{191, 191},
                               accounts::rate_limit{0.2, 1}, accounts::rate_limit{5000, 100}}) {
         for (const std::size_t proxies : {1U, 3U, 7U, 84U, 3500U}) {
@@ -114,7 +113,7 @@
             const auto share = share_of(limit, bound, number);
             const auto all = static_cast<double>(number);
             const double seconds = std::chrono::duration<double>(bound.window).count();
-            // All of them start twice in the window, and are full before.
+            // All coordinators restart twice in the window, and their buckets are full before.
             const double most = all * (share.per_second * seconds + share.capacity + 2 * share.initial_level);
             BOOST_TEST(most <= bound.max_operations(limit) + 1e-6);
             BOOST_TEST(number <= proxies);
@@ -123,7 +122,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(all_proxies_choose_the_same_coordinators_and_one_more_moves_few) {
+BOOST_AUTO_TEST_CASE(a_joining_proxy_replaces_few_coordinators) {
     const auto before = names(84);
     auto after = before;
     after.push_back("proxy-new");
@@ -132,31 +131,30 @@
         const auto account = "account-" + std::to_string(i);
         const auto chosen = choose_coordinators(account, 8, before);
         BOOST_TEST(chosen.size() == 8U);
-        for (const auto place : choose_coordinators(account, 8, after)) {
-            moved += after[place] == "proxy-new" ? 1U : 0U;
+        for (const auto index : choose_coordinators(account, 8, after)) {
+            moved += after[index] == "proxy-new" ? 1U : 0U;
         }
     }
     BOOST_TEST(moved > 0U);
     BOOST_TEST(moved < 60U);
 }
 
-// An account sends eight times what it may, through all proxies, while some are
-// cut off, killed and started again, and the limit is changed. Whatever comes,
-// no window holds more than the bound.
-BOOST_AUTO_TEST_CASE(no_window_goes_over_the_bound_whatever_comes) {
+// An account sends at eight times its limit through all proxies, while coordinators become unreachable and all of them
+// restart. No window may hold more operations than the bound.
+BOOST_AUTO_TEST_CASE(no_window_exceeds_the_bound_under_faults) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         std::mt19937_64 random{seed};
         const double rate = std::uniform_real_distribution{1.0, 120.0}(random);
         const accounts::rate_limit limit{rate, rate};
-        fleet all{84, limit, seed % 2 == 0};
-        const auto coordinators = all.desks.at("proxy-0").coordinators("yard", limit);
+        coordinator_group all{84, limit, seed % 2 == 0};
+        const auto coordinators = all.members.at("proxy-0").coordinators("yard", limit);
         std::vector<boot_clock::time_point> granted;
         const auto gap =
             std::chrono::duration_cast<boot_clock::duration>(std::chrono::duration<double>{1 / (8 * rate)});
-        auto last_power_cut = start - 10s;
-        std::size_t turn = 0;
+        auto last_restart = start - 10s;
+        std::size_t rotation = 0;
         for (auto now = start; now < start + 20s; now += gap) {
-            if (all.admit(now, turn++)) {
+            if (all.admit(now, rotation++)) {
                 granted.push_back(now);
             }
             const auto& one = coordinators[random() % coordinators.size()];
@@ -165,23 +163,23 @@
             } else if (random() % 400 == 0) {
                 all.unreachable.erase(one);
             }
-            // All lose power at once, no more than twice in a window.
-            if (now - last_power_cut > 3s && random() % 500 == 0) {
-                last_power_cut = now;
+            // All coordinators restart at once, at most twice in a window.
+            if (now - last_restart > 3s && random() % 500 == 0) {
+                last_restart = now;
                 for (const auto& name : coordinators) {
                     all.restart(name, now);
                 }
             }
         }
-        BOOST_TEST(static_cast<double>(most_in_a_window(granted)) <= bound.max_operations(limit), "seed " << seed);
+        BOOST_TEST(static_cast<double>(max_in_window(granted)) <= bound.max_operations(limit), "seed " << seed);
     }
 }
 
-// An account sends 0.63 of its limit, one operation at a time and at random. A
-// refusal would be of something it may do.
-BOOST_AUTO_TEST_CASE(an_account_below_its_limit_is_served_on_a_calm_day) {
+// An account sends at 0.63 of its limit, one operation at a time, with random intervals. At most 1
+// in 10,000 operations may be refused.
+BOOST_AUTO_TEST_CASE(an_account_below_its_limit_is_served_without_faults) {
     for (const double rate : {2.0, 22.0, 191.0}) {
-        fleet all{84, {rate, rate}};
+        coordinator_group all{84, {rate, rate}};
         std::mt19937_64 random{7};
         std::exponential_distribution<double> gap{rate / 1.6};
         std::size_t asked = 0;
@@ -194,10 +192,11 @@
     }
 }
 
-// As above, while a third of the proxies are cut off for good.
+// As above, while two of the eight coordinators stay unreachable, as when a third of the proxies are partitioned away.
+// At most 1 in 1,000 operations may be refused.
 BOOST_AUTO_TEST_CASE(an_account_below_its_limit_is_served_without_two_of_its_coordinators) {
-    fleet all{84, {22.0, 22.0}};
-    const auto coordinators = all.desks.at("proxy-0").coordinators("yard", {22.0, 22.0});
+    coordinator_group all{84, {22.0, 22.0}};
+    const auto coordinators = all.members.at("proxy-0").coordinators("yard", {22.0, 22.0});
     all.unreachable = {coordinators[0], coordinators[1]};
     std::mt19937_64 random{7};
     std::exponential_distribution<double> gap{22.0 / 1.6};
@@ -210,59 +209,58 @@
     BOOST_TEST(refused * 1000 <= asked, refused << " of " << asked);
 }
 
-// A proxy takes the place of one that others lost sight of. That one may be well
-// and granting for those that reach it: both at once would be over the limit.
-BOOST_AUTO_TEST_CASE(a_proxy_that_takes_anothers_place_waits_first) {
+// A proxy takes over the share of one that is considered gone. That one may only be partitioned and still grant
+// operations to the proxies that reach it: if both granted at once, the limit would be exceeded.
+BOOST_AUTO_TEST_CASE(a_proxy_that_takes_over_a_share_waits_first) {
     const accounts::rate_limit limit{100, 100};
-    const auto authorizer = gate_of(limit);
+    const auto authorizer = authorizer_with(limit);
     auto all = names(20);
     const auto before = choose_coordinators("yard", 8, all);
-    const auto leaver = all[before[0]];
+    const auto departed = all[before[0]];
     auto rest = all;
-    std::erase(rest, leaver);
-    std::string joiner;
-    for (const auto place : choose_coordinators("yard", 8, rest)) {
-        const auto& name = rest[place];
+    std::erase(rest, departed);
+    std::string successor;
+    for (const auto index : choose_coordinators("yard", 8, rest)) {
+        const auto& name = rest[index];
         if (std::ranges::none_of(before, [&](auto at) { return all[at] == name; })) {
-            joiner = name;
+            successor = name;
         }
     }
-    BOOST_TEST_REQUIRE(!joiner.empty());
-    limit_coordinator desk{joiner, bound, true};
-    desk.set_proxies(all, start);
-    BOOST_TEST((desk.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
-    desk.set_proxies(rest, start + 10s);
-    BOOST_TEST((desk.ask("yard", authorizer, start + 11s).outcome == grant_outcome::used_up));
-    BOOST_TEST((desk.ask("yard", authorizer, start + 10s + limit_coordinator::takeover_delay + 1s).outcome ==
+    BOOST_TEST_REQUIRE(!successor.empty());
+    limit_coordinator coordinator{successor, bound, true};
+    coordinator.set_proxies(all, start);
+    BOOST_TEST((coordinator.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
+    coordinator.set_proxies(rest, start + 10s);
+    BOOST_TEST((coordinator.ask("yard", authorizer, start + 11s).outcome == grant_outcome::used_up));
+    BOOST_TEST((coordinator.ask("yard", authorizer, start + 10s + limit_coordinator::takeover_delay + 1s).outcome ==
                 grant_outcome::granted));
 }
 
-// A proxy starts while the store turns it away, and knows two others by their
-// heartbeats. It took itself for a coordinator of each account, beside those that
-// all the others know.
-BOOST_AUTO_TEST_CASE(a_proxy_that_does_not_know_all_others_grants_nothing) {
-    const auto authorizer = gate_of({100, 100});
-    limit_coordinator desk{"proxy-0", bound, true};
-    desk.set_proxies(names(3), start, false);
-    BOOST_TEST((desk.ask("yard", authorizer, start + 1s).outcome == grant_outcome::not_coordinator));
+// A proxy starts while the store refuses it, and knows only two others, from their heartbeats. It must not consider
+// itself a coordinator of every account, in addition to the coordinators that all other proxies choose.
+BOOST_AUTO_TEST_CASE(a_proxy_with_an_incomplete_proxy_list_grants_nothing) {
+    const auto authorizer = authorizer_with({100, 100});
+    limit_coordinator uninformed{"proxy-0", bound, true};
+    uninformed.set_proxies(names(3), start, false);
+    BOOST_TEST((uninformed.ask("yard", authorizer, start + 1s).outcome == grant_outcome::not_coordinator));
     const auto all = names(84);
-    limit_coordinator coordinator{all[choose_coordinators("yard", 8, all).front()], bound, true};
-    coordinator.set_proxies(names(3), start, false);
-    coordinator.set_proxies(all, start + 2s);
-    BOOST_TEST((coordinator.ask("yard", authorizer, start + 2s).outcome == grant_outcome::granted));
+    limit_coordinator informed{all[choose_coordinators("yard", 8, all).front()], bound, true};
+    informed.set_proxies(names(3), start, false);
+    informed.set_proxies(all, start + 2s);
+    BOOST_TEST((informed.ask("yard", authorizer, start + 2s).outcome == grant_outcome::granted));
 }
 
-// An operator lowers a limit far below what is sent: what was saved up under the
-// one before must not be granted on.
-BOOST_AUTO_TEST_CASE(a_lowered_limit_holds_at_once) {
-    limit_coordinator desk{"a", bound, true};
-    desk.set_proxies({"a"}, start);
-    const auto high = gate_of({1000, 1000});
-    const auto low = gate_of({1, 1});
-    BOOST_TEST((desk.ask("yard", high, start).outcome == grant_outcome::granted));
+// An operator lowers a limit far below the rate of requests: tokens saved up under the previous limit must not be
+// granted.
+BOOST_AUTO_TEST_CASE(a_lowered_limit_applies_at_once) {
+    limit_coordinator coordinator{"a", bound, true};
+    coordinator.set_proxies({"a"}, start);
+    const auto high = authorizer_with({1000, 1000});
+    const auto low = authorizer_with({1, 1});
+    BOOST_TEST((coordinator.ask("yard", high, start).outcome == grant_outcome::granted));
     std::vector<boot_clock::time_point> granted;
     for (auto now = start + 1ms; now < start + 5s; now += 2ms) {
-        if (desk.ask("yard", low, now).outcome == grant_outcome::granted) {
+        if (coordinator.ask("yard", low, now).outcome == grant_outcome::granted) {
             granted.push_back(now);
         }
     }
@@ -270,58 +268,58 @@
     BOOST_TEST(!granted.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_coordinator_without_a_lease_grants_nothing) {
+BOOST_AUTO_TEST_CASE(a_coordinator_without_a_valid_lease_grants_nothing) {
     accounts::authorizer authorizer{accounts::configuration_lease{2000ms}};
     accounts::directory all;
     all.add({.name = "yard", .limit = accounts::rate_limit{10, 10}});
     authorizer.set_accounts(all);
-    limit_coordinator desk{"a", bound, true};
-    desk.set_proxies({"a"}, start);
-    BOOST_TEST((desk.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
+    limit_coordinator coordinator{"a", bound, true};
+    coordinator.set_proxies({"a"}, start);
+    BOOST_TEST((coordinator.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
     authorizer.confirm_current(start);
-    BOOST_TEST((desk.ask("yard", authorizer, start).outcome == grant_outcome::granted));
-    BOOST_TEST((desk.ask("nobody", authorizer, start).outcome == grant_outcome::not_coordinator));
+    BOOST_TEST((coordinator.ask("yard", authorizer, start).outcome == grant_outcome::granted));
+    BOOST_TEST((coordinator.ask("nobody", authorizer, start).outcome == grant_outcome::not_coordinator));
 }
 
-// Nine in ten of the callers who come back when they were told are served.
-BOOST_AUTO_TEST_CASE(the_time_to_come_back_is_true) {
+// At least 90 % of the operations that are retried after the reported wait must be granted.
+BOOST_AUTO_TEST_CASE(a_retry_after_the_reported_wait_is_granted) {
     const accounts::rate_limit limit{20, 20};
-    fleet all{8, limit};
+    coordinator_group all{8, limit};
     std::mt19937_64 random{11};
-    std::size_t told = 0;
+    std::size_t retried = 0;
     std::size_t served = 0;
-    std::size_t turn = 0;
+    std::size_t rotation = 0;
     for (auto now = start; now < start + 30s; now += 40ms) {
-        if (all.admit(now, turn++)) {
+        if (all.admit(now, rotation++)) {
             continue;
         }
         auto wait = 5000ms;
-        for (auto& [name, desk] : all.desks) {
-            const auto answer = desk.ask("yard", all.authorizer, now);
-            wait = std::min(wait, answer.wait);
+        for (auto& [name, member] : all.members) {
+            const auto response = member.ask("yard", all.authorizer, now);
+            wait = std::min(wait, response.wait);
         }
-        ++told;
-        served += all.admit(now + wait, turn) ? 1U : 0U;
+        ++retried;
+        served += all.admit(now + wait, rotation) ? 1U : 0U;
     }
-    BOOST_TEST(served * 10 >= told * 9, served << " of " << told);
+    BOOST_TEST(served * 10 >= retried * 9, served << " of " << retried);
 }
 
-BOOST_AUTO_TEST_CASE(messages_read_as_they_were_written) {
-    const auto question = decode_grant_request(encode(grant_request{77, "yard"})).value();
-    BOOST_TEST(question.nonce == 77U);
-    BOOST_TEST(question.account == "yard");
-    const auto answer = decode_grant_response(encode(grant_response{78, grant_outcome::used_up, 120ms})).value();
-    BOOST_TEST(answer.nonce == 78U);
-    BOOST_TEST((answer.outcome == grant_outcome::used_up));
-    BOOST_TEST((answer.wait == 120ms));
+BOOST_AUTO_TEST_CASE(messages_decode_as_encoded) {
+    const auto request = decode_grant_request(encode(grant_request{77, "yard"})).value();
+    BOOST_TEST(request.nonce == 77U);
+    BOOST_TEST(request.account == "yard");
+    const auto response = decode_grant_response(encode(grant_response{78, grant_outcome::used_up, 120ms})).value();
+    BOOST_TEST(response.nonce == 78U);
+    BOOST_TEST((response.outcome == grant_outcome::used_up));
+    BOOST_TEST((response.wait == 120ms));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_no_message_is_dropped) {
-    for (const auto* odd :
+BOOST_AUTO_TEST_CASE(malformed_messages_are_rejected) {
+    for (const auto* malformed :
          {"", "lq1", "lq1 ", "lq1 x yard", "lq1 7", "lq1 7 ", "lq1 7 two words", "lq2 7 yard", "la1 7 0", "la1 7 9 0",
           "la1 7 0 -1", "la1 7 0 99999999999999999999", "la1  0 0", "cl3 q 1 2"}) {
-        BOOST_TEST(!decode_grant_request(odd).has_value(), odd);
-        BOOST_TEST(!decode_grant_response(odd).has_value(), odd);
+        BOOST_TEST(!decode_grant_request(malformed).has_value(), malformed);
+        BOOST_TEST(!decode_grant_response(malformed).has_value(), malformed);
     }
     std::mt19937_64 random{3};
     for (int i = 0; i < 20'000; ++i) {
@@ -334,35 +332,35 @@
     }
 }
 
-// One coordinator is dead, another one's share is used up: an operation that the
-// third can grant is not refused.
+// One coordinator does not respond and the share of another is used up: an operation that the third can grant must not
+// be refused.
 BOOST_AUTO_TEST_CASE(an_operation_is_granted_by_the_next_coordinator) {
     event_loop io;
-    fake_grants channel;
-    limit_coordinator desk{"self", bound};
-    limiter keeper{channel, desk, "self", "here"};
-    std::vector<coordinator_endpoint> places;
+    fake_grant_channel channel;
+    limit_coordinator coordinator{"self", bound};
+    limiter under_test{channel, coordinator, "self", "here"};
+    std::vector<coordinator_endpoint> endpoints;
     const auto where = asio::ip::make_address("10.0.0.1");
     for (std::uint16_t port = 1; port <= 3; ++port) {
-        places.push_back({"p" + std::to_string(port), "here", {where, port}});
+        endpoints.push_back({"p" + std::to_string(port), "here", {where, port}});
     }
-    keeper.set_proxies(places);
+    under_test.set_proxies(endpoints);
     const accounts::rate_limit limit{100, 100};
-    const auto authorizer = gate_of(limit);
-    channel.answers[2].push_back({.outcome = grant_outcome::used_up, .wait = 5ms});
-    channel.answers[3].push_back({.outcome = grant_outcome::granted});
+    const auto authorizer = authorizer_with(limit);
+    channel.responses[2].push_back({.outcome = grant_outcome::used_up, .wait = 5ms});
+    channel.responses[3].push_back({.outcome = grant_outcome::granted});
     std::vector<admission_result> got;
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            got.push_back(co_await keeper.admit("yard", limit, authorizer));
-            channel.answers.clear();
+            got.push_back(co_await under_test.admit("yard", limit, authorizer));
+            channel.responses.clear();
             for (const std::uint16_t port : {1, 2, 3}) {
-                channel.answers[port].push_back({.outcome = grant_outcome::used_up, .wait = 30ms});
+                channel.responses[port].push_back({.outcome = grant_outcome::used_up, .wait = 30ms});
             }
-            got.push_back(co_await keeper.admit("yard", limit, authorizer));
+            got.push_back(co_await under_test.admit("yard", limit, authorizer));
             const auto before = channel.asked.size();
-            got.push_back(co_await keeper.admit("yard", limit, authorizer));
+            got.push_back(co_await under_test.admit("yard", limit, authorizer));
             BOOST_TEST(channel.asked.size() == before);
             io.stop();
         },
@@ -376,8 +374,8 @@
     io.abandon_pending();
 }
 
-// A flood of one account: its operations beyond the limit are refused before
-// they take a connection, and a transaction is refused at its start or not at all.
+// Operations beyond an account's limit are refused before they take a connection; a transaction is refused at its start
+// or not at all.
 BOOST_AUTO_TEST_CASE(an_operation_beyond_the_limit_reaches_no_server) {
     test::proxy_in_memory proxy;
     auto config = test::three_databases(2);
