--- a/src/cornellever/limits/grant_message.hpp
+++ b/src/cornellever/limits/grant_message.hpp
@@ -8,8 +8,8 @@
 
 namespace cornellever::limits {
 
-/// Asks a coordinator to let one operation of an account run.
-struct grant_question {
+/// Asks a coordinator to grant one operation of an account.
+struct grant_request {
     std::uint64_t nonce{0};
     std::string account;
 };
@@ -18,24 +18,23 @@
     granted,
     /// The coordinator's share is used up.
     used_up,
-    /// The proxy that was asked coordinates nothing of this account, or does not
-    /// know whether its configuration is current.
-    not_mine,
+    /// The proxy does not coordinate this account's limit, or its configuration is not confirmed current.
+    not_coordinator,
 };
 
-/// The answer to the question of that nonce.
-struct grant_answer {
+/// The response to the request with the same nonce.
+struct grant_response {
     std::uint64_t nonce{0};
-    grant_outcome outcome{grant_outcome::not_mine};
-    /// Of `used_up`: when the share has an operation again.
+    grant_outcome outcome{grant_outcome::not_coordinator};
+    /// With `used_up`: time until the share has a token again.
     std::chrono::milliseconds wait{0};
 };
 
-[[nodiscard]] std::string encode(const grant_question& message);
-[[nodiscard]] std::string encode(const grant_answer& message);
+[[nodiscard]] std::string encode(const grant_request& message);
+[[nodiscard]] std::string encode(const grant_response& message);
 
-/// Nothing when the bytes are not such a message.
-[[nodiscard]] std::optional<grant_question> decode_question(std::string_view bytes);
-[[nodiscard]] std::optional<grant_answer> decode_answer(std::string_view bytes);
+/// Decodes a message; nothing when `bytes` is not a valid one of that type.
+[[nodiscard]] std::optional<grant_request> decode_grant_request(std::string_view bytes);
+[[nodiscard]] std::optional<grant_response> decode_grant_response(std::string_view bytes);
 
 } // namespace cornellever::limits
