--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -18,7 +18,7 @@
   src/cornellever/proxy/group_record.cpp src/cornellever/proxy/request.cpp src/cornellever/proxy/session_token.cpp
   src/cornellever/rpc/envelope.cpp src/cornellever/cluster/peer_message.cpp src/cornellever/cluster/promotion_claim.cpp
   src/cornellever/cluster/snapshot.cpp src/cornellever/accounts/directory.cpp src/cornellever/accounts/key_digest.cpp
-  src/cornellever/limits/grant_message.cpp platform/relay_codec.cpp platform/rows.cpp platform/statement_codec.cpp)
+  src/cornellever/limits/grant_message.cpp platform/relay_codec.cpp platform/row_codec.cpp platform/statement_codec.cpp)
 printf '%s\n' "${sources[@]}" tests/fuzz/config.cpp tests/fuzz/request.cpp tests/fuzz/statements.cpp |
   xargs -P "$(nproc)" -I{} bash -c 'o="$1/$(echo "$2" | tr / _).o"; [ -e "$o" ] && [ -z "$(find src platform tests/fuzz -newer "$o" -print -quit)" ] || clang++-16 "${@:3}" -fsanitize=fuzzer-no-link -c "$2" -o "$o"' \
     bash "$out" {} "${flags[@]}" 2>"$out/compile.log" || { cat "$out/compile.log"; exit 1; }
--- a/tests/fuzz/statements.cpp
+++ b/tests/fuzz/statements.cpp
@@ -9,7 +9,7 @@
 #include "cornellever/limits/grant_message.hpp"
 #include "cornellever/rpc/envelope.hpp"
 #include "platform/relay_codec.hpp"
-#include "platform/rows.hpp"
+#include "platform/row_codec.hpp"
 #include "platform/statement_codec.hpp"
 
 using namespace cornellever;
--- a/tests/platform/registrations.cpp
+++ b/tests/platform/registrations.cpp
@@ -3,7 +3,7 @@
 #include "cornellever/cluster/registry_reader.hpp"
 #include "cornellever/cluster/snapshot.hpp"
 #include "cornellever/core/daemon.hpp"
-#include "platform/rows.hpp"
+#include "platform/row_codec.hpp"
 
 using namespace cornellever;
 using namespace std::chrono_literals;
--- a/tests/platform/store_eras.cpp
+++ b/tests/platform/store_eras.cpp
@@ -3,7 +3,7 @@
 #include "cornellever/core/daemon.hpp"
 #include "fake_peer.hpp"
 #include "platform/store_client.hpp"
-#include "platform/store_point.hpp"
+#include "platform/store_version.hpp"
 
 using namespace cornellever;
 using namespace cornellever::test;
--- a/tests/platform/wire.cpp
+++ b/tests/platform/wire.cpp
@@ -6,11 +6,11 @@
 #include "cornellever/core/base64.hpp"
 #include "cornellever/core/daemon.hpp"
 #include "fake_link.hpp"
+#include "loopback_server.hpp"
 #include "platform/caller_listener.hpp"
 #include "platform/relay_codec.hpp"
-#include "platform/rows.hpp"
+#include "platform/row_codec.hpp"
 #include "platform/statement_codec.hpp"
-#include "wire_server.hpp"
 
 using namespace cornellever;
 using namespace std::chrono_literals;
--- a/tests/soak/caller.cpp
+++ b/tests/soak/caller.cpp
@@ -1,6 +1,6 @@
 #include "caller.hpp"
 
-#include "platform/connecting.hpp"
+#include "platform/tcp_connect.hpp"
 
 namespace cornellever::soak {
 
