--- a/tests/fuzz/statements.cpp
+++ b/tests/fuzz/statements.cpp
@@ -53,7 +53,7 @@
     platform::reply_decoder decoder;
     for (auto rest = text; !rest.empty();) {
         const auto end = rest.find('\n');
-        if (decoder.take(rest.substr(0, end)) != platform::reply_decoder::step::more) {
+        if (decoder.decode_line(rest.substr(0, end)) != platform::reply_decoder::step::more) {
             (void)decoder.finish();
         }
         rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
--- a/tests/platform/wire.cpp
+++ b/tests/platform/wire.cpp
@@ -99,9 +99,9 @@
 
 BOOST_AUTO_TEST_CASE(an_answer_is_taken_line_by_line) {
     reply_decoder decoder;
-    BOOST_TEST((decoder.take("ROW a b") == reply_decoder::step::more));
-    BOOST_TEST((decoder.take("COMPLETE 7.1") == reply_decoder::step::more));
-    BOOST_TEST((decoder.take("READY T 3.9") == reply_decoder::step::done));
+    BOOST_TEST((decoder.decode_line("ROW a b") == reply_decoder::step::more));
+    BOOST_TEST((decoder.decode_line("COMPLETE 7.1") == reply_decoder::step::more));
+    BOOST_TEST((decoder.decode_line("READY T 3.9") == reply_decoder::step::done));
     const auto reply = decoder.finish();
     BOOST_TEST(reply.rows.front() == "a b");
     BOOST_TEST(reply.signature == "7.1");
@@ -119,9 +119,9 @@
         reply_decoder decoder;
         auto last = reply_decoder::step::more;
         for (const auto* line : lines) {
-            last = decoder.take(line);
+            last = decoder.decode_line(line);
         }
-        BOOST_TEST((last == reply_decoder::step::garbled));
+        BOOST_TEST((last == reply_decoder::step::invalid));
     }
 }
 
--- a/tests/soak/caller.cpp
+++ b/tests/soak/caller.cpp
@@ -74,8 +74,8 @@
             m_cut(m_at, asked);
             co_return out;
         }
-        const auto step = m_decoder.take(*line);
-        if (step == platform::reply_decoder::step::garbled) {
+        const auto step = m_decoder.decode_line(*line);
+        if (step == platform::reply_decoder::step::invalid) {
             m_promises.broken("whole answer", asked.id + " was answered '" + *line + "'");
             co_return out;
         }
--- a/tests/soak/scenario.cpp
+++ b/tests/soak/scenario.cpp
@@ -176,7 +176,7 @@
 asio::awaitable<void> scenario::watch_readiness(proxy_process& at) {
     for (;;) {
         platform::http_client over{m_io.get_executor(), at.readiness()};
-        const platform::http_call what{.verb = http::verb::get, .target = "/ready"};
+        const platform::http_request what{.verb = http::verb::get, .target = "/ready"};
         const auto answer = co_await over.call(what, 700ms);
         const bool good = answer && answer->status == 200;
         at.missed_checks = good ? 0 : at.missed_checks + 1;
