--- a/tests/platform/registrations.cpp
+++ b/tests/platform/registrations.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// A registration as servers write it, with one field's value replaced.
+/// A registration as servers write it, with the value of `field` replaced; an empty value omits the field.
 std::string registration(const std::string& field = {}, const std::string& value = {}) {
     const std::vector<std::pair<std::string, std::string>> fields{
         {"Service", "\"s\""}, {"Address", "\"10.0.0.9:80\""}, {"Zone", "\"z\""},     {"Version", "\"v1\""},
         {"Slots", "2"},       {"State", "\"ready\""},         {"WarmupLeftMs", "0"}, {"Seq", "4"},
         {"born", "1700"},     {"DbRole", "\"replica\""}};
     std::string out{"{"};
-    for (const auto& [name, usual] : fields) {
-        const auto& text = name == field ? value : usual;
+    for (const auto& [name, default_value] : fields) {
+        const auto& text = name == field ? value : default_value;
         if (!text.empty()) {
             out += (out.size() > 1 ? "," : "") + std::string{"\""} + name + "\":" + text;
         }
@@ -39,23 +39,23 @@
 
 BOOST_AUTO_TEST_SUITE(registrations)
 
-// Every proxy of a deployment ends, and ends again whenever it is started: one
-// row that somebody else had written held a negative number, for which the JSON
-// library throws.
-BOOST_AUTO_TEST_CASE(a_registration_with_a_field_missing_or_odd_names_no_server) {
+// Guards against an invalid row that ends every proxy, also after each restart: the JSON library throws on a negative
+// number where an unsigned one is read.
+BOOST_AUTO_TEST_CASE(a_registration_with_a_missing_or_invalid_field_is_refused) {
     BOOST_TEST(platform::decode_server("i-1", registration()).has_value());
     for (const auto* field :
          {"Service", "Address", "Zone", "Version", "Slots", "State", "WarmupLeftMs", "Seq", "DbRole"}) {
-        for (const auto* odd : {"", "-1", "null", "[]", "{}", "1e300", "\"\"", "\"nobody knows\"", "true", "0.5"}) {
-            if (std::string{field} == "Version" && odd[0] == '"') {
-                // Any text is a version.
+        for (const auto* invalid : {"", "-1", "null", "[]", "{}", "1e300", "\"\"", "\"nobody knows\"", "true", "0.5"}) {
+            if (std::string{field} == "Version" && invalid[0] == '"') {
+                // Any text is a valid version.
                 continue;
             }
-            if (std::string{field} == "WarmupLeftMs" && (odd[0] == '-' || odd[0] == '1' || odd[0] == '0')) {
-                // Any number is; it is not used.
+            if (std::string{field} == "WarmupLeftMs" && (invalid[0] == '-' || invalid[0] == '1' || invalid[0] == '0')) {
+                // Any number is valid; the field is not used.
                 continue;
             }
-            BOOST_TEST(!platform::decode_server("i-1", registration(field, odd)).has_value(), field << " = " << odd);
+            BOOST_TEST(!platform::decode_server("i-1", registration(field, invalid)).has_value(),
+                       field << " = " << invalid);
         }
     }
     BOOST_TEST(!platform::decode_server("i-1", "").has_value());
@@ -64,25 +64,25 @@
     BOOST_TEST(!platform::decode_server("two words", registration()).has_value());
 }
 
-// Taken for a replica that leaves, it would keep a real server's address in
-// use; a primary's row of that kind would start a planned change of primary.
-BOOST_AUTO_TEST_CASE(an_unknown_state_or_role_is_not_guessed) {
+// Guards against defaults for unknown values: a row counted as a draining replica would keep a real server's address in
+// use, and one counted as a draining primary would start a planned failover.
+BOOST_AUTO_TEST_CASE(an_unknown_state_or_role_is_refused) {
     BOOST_TEST(!platform::decode_server("i-1", registration("State", "\"starting\"")).has_value());
     BOOST_TEST(!platform::decode_server("i-1", registration("DbRole", "\"observer\"")).has_value());
     BOOST_TEST(platform::decode_server("i-1", registration("State", "\"draining\"")).value().draining);
 }
 
-BOOST_AUTO_TEST_CASE(the_time_of_a_servers_start_is_a_whole_number_or_absent) {
+BOOST_AUTO_TEST_CASE(the_start_time_is_a_whole_number_or_absent) {
     BOOST_TEST(platform::decode_server("i-1", registration()).value().born_ms == 1700U);
     BOOST_TEST(platform::decode_server("i-1", registration("born", "")).value().born_ms == 0U);
-    for (const auto* odd : {"-1", "\"1700\"", "1.5", "null", "1e300"}) {
-        BOOST_TEST(!platform::decode_server("i-1", registration("born", odd)).has_value(), odd);
+    for (const auto* invalid : {"-1", "\"1700\"", "1.5", "null", "1e300"}) {
+        BOOST_TEST(!platform::decode_server("i-1", registration("born", invalid)).has_value(), invalid);
     }
 }
 
-// The other servers hold, and the log is not filled: the table is read as a
-// whole at every change, several times a second during a release.
-BOOST_AUTO_TEST_CASE(the_others_hold_and_each_odd_row_is_reported_once) {
+// Guards against one invalid row that invalidates the others or fills the log: the whole table is read at every change,
+// several times a second during a release.
+BOOST_AUTO_TEST_CASE(other_rows_stay_in_force_and_each_invalid_row_is_reported_once) {
     cluster::registry_reader reader{&platform::decode_server};
     auto rows = rows_of({{"good", registration()}, {"odd", registration("Slots", "-1")}});
     BOOST_TEST(reader.read(rows, 5).servers.size() == 1U);
@@ -95,9 +95,9 @@
     BOOST_TEST(reader.read(rows, 8).servers.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(numbers_out_of_range_in_a_configuration_are_no_exception) {
-    for (const auto* odd : {"-1", "1e300", "99999999999999999999999", "null", "\"x\"", "[]"}) {
-        const std::string number{odd};
+BOOST_AUTO_TEST_CASE(out_of_range_numbers_in_a_configuration_do_not_throw) {
+    for (const auto* invalid : {"-1", "1e300", "99999999999999999999999", "null", "\"x\"", "[]"}) {
+        const std::string number{invalid};
         const auto config = platform::decode_configuration(
             R"({"Version":7,"Routes":[{"Host":"db","Service":"s","TimeoutMs":)" + number + R"(,"TargetLatencyMs":)" +
             number + R"(,"Priority":)" + number + R"(}],"Services":[{"Name":"s","MaxConnections":)" + number +
@@ -108,7 +108,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_peers_snapshot_keeps_when_servers_started) {
+BOOST_AUTO_TEST_CASE(a_snapshot_keeps_the_start_times_of_servers) {
     routing::registry servers;
     servers.version = 3;
     servers.servers["i-1"] = platform::decode_server("i-1", registration()).value();
@@ -117,7 +117,7 @@
     BOOST_TEST((again->servers.servers.at("i-1") == servers.servers.at("i-1")));
 }
 
-BOOST_AUTO_TEST_CASE(accounts_of_a_configuration_are_decoded_and_their_keys_forgotten) {
+BOOST_AUTO_TEST_CASE(accounts_are_decoded_and_only_digests_of_their_keys_kept) {
     const auto config = platform::decode_configuration(
                             R"({"Version":7,"Routes":[{"Host":"db","Service":"s"},)"
                             R"({"Host":"open","Service":"s","Anonymous":true}],"Tenants":[)"
@@ -135,19 +135,18 @@
     BOOST_TEST(config.accounts.holder(accounts::key_digest::of("k3")) == nullptr);
 }
 
-// A deployment without accounts asks nobody for a key.
-BOOST_AUTO_TEST_CASE(without_accounts_every_database_is_open) {
+BOOST_AUTO_TEST_CASE(without_accounts_no_database_requires_a_key) {
     const auto config = platform::decode_configuration(R"({"Version":7,"Routes":[{"Host":"db","Service":"s"}]})");
     BOOST_TEST(config.value().routes.at("db").keyless);
 }
 
-BOOST_AUTO_TEST_CASE(odd_accounts_are_refused_and_their_keys_not_told) {
-    for (const auto* odd :
+BOOST_AUTO_TEST_CASE(invalid_accounts_are_refused_without_revealing_their_keys) {
+    for (const auto* invalid :
          {R"({"ApiKeys":["secret"]})", R"({"Name":"two words","ApiKeys":["secret"]})", R"({"Name":"yard"})",
           R"({"Name":"yard","ApiKeys":["secret",7]})", R"({"Name":"yard","ApiKeys":"secret"})", "7", "null"}) {
         const auto config =
-            platform::decode_configuration(R"({"Version":7,"Routes":[],"Tenants":[)" + std::string{odd} + "]}");
-        BOOST_TEST_REQUIRE(!config.has_value(), odd);
+            platform::decode_configuration(R"({"Version":7,"Routes":[],"Tenants":[)" + std::string{invalid} + "]}");
+        BOOST_TEST_REQUIRE(!config.has_value(), invalid);
         BOOST_TEST(config.error().message.find("secret") == std::string::npos);
     }
 }
