--- a/tests/platform/wire.cpp
+++ b/tests/platform/wire.cpp
@@ -30,8 +30,9 @@
     return as<sql::request>(platform::decode_caller_line(line));
 }
 
-/// One caller's session over TCP; notes down what was said.
-asio::awaitable<void> talk(tcp::endpoint to, std::vector<std::string> lines, std::string& transcript) {
+/// Runs a caller's session over TCP: sends each line after the reply to the one before, and appends both to
+/// `transcript`.
+asio::awaitable<void> run_session(tcp::endpoint to, std::vector<std::string> lines, std::string& transcript) {
     tcp::socket socket{co_await asio::this_coro::executor};
     co_await socket.async_connect(to, asio::use_awaitable);
     platform::line_socket peer{std::move(socket)};
@@ -48,8 +49,7 @@
             got = *line;
             transcript += "< " + got + "\n";
         }
-        // Lets the replicas' connections open and settle, so that each
-        // statement is placed on the same server every time.
+        // Gives the replicas' connections time to open, so that each statement is always placed on the same server.
         co_await sleep_for(30ms);
     }
 }
@@ -76,8 +76,9 @@
     BOOST_TEST(decoded("QUERY 7 EXECUTE s1").what.text.empty());
 }
 
-// A line with a second query inside, or without an id, must not reach a server.
-BOOST_AUTO_TEST_CASE(what_is_no_statement_is_malformed) {
+// Guards against forwarding a line that holds a second command, has no id, or holds a statement that only the proxy may
+// send.
+BOOST_AUTO_TEST_CASE(invalid_statements_are_malformed) {
     for (const auto* line : {"", "QUERY", "QUERY - READ 1", "QUERY 7", "QUERY 7 DROP x", "QUERY 7 READ", "QUERY 7 SET",
                              "QUERY 7 PREPARE a BOTH q", "QUERY 7 BEGIN WRITE", "QUERY 7 RESET", "QUERY 7 STATUS",
                              "QUERY 7 STEPDOWN 9", "QUERY 7 AFTER 1.1 READ 1", "HELLO", "STARTUP"}) {
@@ -85,7 +86,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(commands_are_passed_on_unchanged) {
+BOOST_AUTO_TEST_CASE(commands_are_forwarded_unchanged) {
     for (const auto* text : {"READ 1a4", "WRITE 1a4  x y ", "COMMIT"}) {
         const auto request = decoded(std::string{"QUERY 5c "} + text);
         BOOST_TEST(platform::encode_command({request.id, request.what, {}}) ==
@@ -97,7 +98,7 @@
     BOOST_TEST(platform::encode_command(sql::own(statement_kind::begin)) == "QUERY - BEGIN\r\n");
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_is_taken_line_by_line) {
+BOOST_AUTO_TEST_CASE(a_reply_is_decoded_line_by_line) {
     reply_decoder decoder;
     BOOST_TEST((decoder.decode_line("ROW a b") == reply_decoder::step::more));
     BOOST_TEST((decoder.decode_line("COMPLETE 7.1") == reply_decoder::step::more));
@@ -110,9 +111,9 @@
     BOOST_TEST(platform::encode_reply(reply) == "ROW a b\r\nCOMPLETE 7.1\r\nREADY T 3.9\r\n");
 }
 
-// A caller gets rows without the end of them: the answer was cut off, and the
-// READY of the next statement was taken for its end.
-BOOST_AUTO_TEST_CASE(an_answer_that_was_cut_off_is_none) {
+// Guards against an incomplete result: the end of a truncated reply is missing, and the READY of the next reply would
+// be taken for it.
+BOOST_AUTO_TEST_CASE(a_truncated_reply_is_invalid) {
     for (const std::vector<const char*>& lines :
          {std::vector{"ROW a", "READY I 1.1"}, std::vector{"READY I 1.1"}, std::vector{"COMPLETE 1", "COMPLETE 2"},
           std::vector{"COMPLETE 1", "ROW a"}, std::vector{"COMPLETE 1", "READY X 1.1"}, std::vector{"GARBAGE"}}) {
@@ -125,19 +126,18 @@
     }
 }
 
-// Writes stand still for 2.5 s instead of 1.9 s after a primary went dark: the
-// proxy whose turn it was saw its connections broken by the network's own time
-// limit, took that for a restart of the server, and waited for a new connection
-// to time out before it judged the primary lost.
-BOOST_AUTO_TEST_CASE(a_connection_that_the_network_gave_up_is_no_mere_end) {
+// Guards against a slow failover (2.5 s without writes instead of 1.9 s) when a primary becomes unreachable. The TCP
+// user timeout breaks the connections. If the proxy in charge of the failover takes that for a server restart, it waits
+// for a new connection to time out before it declares the primary lost.
+BOOST_AUTO_TEST_CASE(a_network_timeout_is_not_reported_as_a_closed_connection) {
     using platform::line_socket;
-    BOOST_TEST((platform::ending_of(asio::error::timed_out) == line_socket::ending::unreachable));
-    BOOST_TEST((platform::ending_of(asio::error::host_unreachable) == line_socket::ending::unreachable));
-    BOOST_TEST((platform::ending_of(asio::error::eof) == line_socket::ending::closed));
-    BOOST_TEST((platform::ending_of(asio::error::connection_reset) == line_socket::ending::closed));
+    BOOST_TEST((platform::read_error_of(asio::error::timed_out) == line_socket::read_error::unreachable));
+    BOOST_TEST((platform::read_error_of(asio::error::host_unreachable) == line_socket::read_error::unreachable));
+    BOOST_TEST((platform::read_error_of(asio::error::eof) == line_socket::read_error::closed));
+    BOOST_TEST((platform::read_error_of(asio::error::connection_reset) == line_socket::read_error::closed));
 }
 
-BOOST_AUTO_TEST_CASE(a_servers_report_is_decoded) {
+BOOST_AUTO_TEST_CASE(a_server_status_is_decoded) {
     const auto status = platform::decode_status("replica 3 3.1209 0 12 2 17");
     BOOST_TEST_REQUIRE(status.has_value());
     BOOST_TEST(!status->leads);
@@ -147,7 +147,7 @@
     BOOST_TEST(!platform::parse_position("3.x"));
 }
 
-BOOST_AUTO_TEST_CASE(base64_goes_there_and_back) {
+BOOST_AUTO_TEST_CASE(base64_round_trips) {
     for (const auto* text : {"", "a", "ab", "abc", "node-1"}) {
         BOOST_TEST(decode_base64(encode_base64(text)).value() == text);
     }
@@ -155,7 +155,7 @@
     BOOST_TEST(!decode_base64("!!"));
 }
 
-BOOST_AUTO_TEST_CASE(rows_become_the_products_types) {
+BOOST_AUTO_TEST_CASE(store_rows_are_decoded) {
     const auto config = platform::decode_configuration(
         R"({"Version":7,"Routes":[{"Host":"db","Kind":"bounded_staleness","TimeoutMs":800,"TargetLatencyMs":200,
             "Priority":2,"Service":"s","MaxStalenessMs":2500}],
@@ -177,12 +177,12 @@
     BOOST_TEST(!platform::decode_server("i-1", "{}"));
 }
 
-// The whole path over TCP: a session of every kind of statement against
-// servers on loopback, compared line by line.
-BOOST_AUTO_TEST_CASE(a_whole_session_is_as_it_was) {
+// End-to-end over TCP: a session with every kind of statement against servers on loopback; the transcript is compared
+// with the golden file.
+BOOST_AUTO_TEST_CASE(a_session_transcript_matches_the_golden_file) {
     event_loop io;
-    test::wire_server primary{io, "stock", "p", true};
-    test::wire_server replica{io, "stock", "r1", false};
+    test::loopback_server primary{io, "stock", "p", true};
+    test::loopback_server replica{io, "stock", "r1", false};
     auto servers = test::three_servers();
     servers.servers.erase("r2");
     servers.servers["p"].address = primary.address();
@@ -192,7 +192,7 @@
     host.update(test::three_databases());
     host.update(servers);
     host.set_proxies({{"a", "here", {}}, {"b", "here", {}}, {"c", "there", {}}});
-    platform::caller_listener callers{io.get_executor(), host, platform::caller_side::callers};
+    platform::caller_listener callers{io.get_executor(), host, platform::session_source::callers};
     const tcp::endpoint here{asio::ip::make_address("127.0.0.1"), 27311};
     BOOST_TEST_REQUIRE(callers.start(here).has_value());
     std::string transcript;
@@ -207,18 +207,18 @@
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            co_await talk(here, strict, transcript);
+            co_await run_session(here, strict, transcript);
             host.tick();
             co_await sleep_for(30ms);
-            co_await talk(here, fresh, transcript);
-            co_await talk(here, none, transcript);
+            co_await run_session(here, fresh, transcript);
+            co_await run_session(here, none, transcript);
             io.stop();
         },
         asio::detached);
     io.run();
     io.abandon_pending();
     for (const auto* server : {&primary, &replica}) {
-        for (const auto& line : server->callers_lines) {
+        for (const auto& line : server->caller_statements) {
             transcript += "server " + line + "\n";
         }
     }
@@ -228,12 +228,12 @@
 
 namespace {
 
-/// A proxy that takes callers on loopback.
+/// A proxy that accepts sessions on loopback.
 struct listening_proxy {
-    listening_proxy(event_loop& io, std::string name, std::uint16_t port, platform::caller_side side)
+    listening_proxy(event_loop& io, std::string name, std::uint16_t port, platform::session_source source)
         : connector{io.get_executor(), "proxy"}
         , host{io.get_executor(), connector, std::move(name), "here"}
-        , callers{io.get_executor(), host, side}
+        , callers{io.get_executor(), host, source}
         , here{asio::ip::make_address("127.0.0.1"), port} {
         BOOST_TEST_REQUIRE(callers.start(here).has_value());
     }
@@ -244,13 +244,13 @@
     tcp::endpoint here;
 };
 
-/// A primary, a proxy that owns connections to it, and one before that; all on
+/// A primary, a proxy that owns connections to it (`owner`), and the proxy that callers connect to (`entry`); all on
 /// loopback.
 struct two_proxies {
     two_proxies(std::size_t limit, std::uint16_t port)
         : primary{io, "stock", "p", true}
-        , entry{io, "a", port, platform::caller_side::callers}
-        , owner{io, "owner", static_cast<std::uint16_t>(port + 1), platform::caller_side::proxies} {
+        , entry{io, "a", port, platform::session_source::callers}
+        , owner{io, "owner", static_cast<std::uint16_t>(port + 1), platform::session_source::proxies} {
         auto servers = test::three_servers();
         servers.servers.erase("r1");
         servers.servers.erase("r2");
@@ -264,7 +264,7 @@
         owner.host.set_proxies({{"owner", "here", owner.here}});
     }
 
-    /// So many places, the entry's own first; all others are the owner's.
+    /// A list of `count` proxies: first the entry, then entries with different names that all have the owner's address.
     [[nodiscard]] std::vector<session::proxy_place> places(int count) const {
         std::vector<session::proxy_place> out{{"a", "here", entry.here}};
         for (int i = 1; i < count; ++i) {
@@ -278,7 +278,7 @@
         asio::co_spawn(
             io,
             [&]() -> asio::awaitable<void> {
-                co_await talk(entry.here, lines, transcript);
+                co_await run_session(entry.here, lines, transcript);
                 io.stop();
             },
             asio::detached);
@@ -288,12 +288,12 @@
     }
 
     event_loop io;
-    test::wire_server primary;
+    test::loopback_server primary;
     listening_proxy entry;
     listening_proxy owner;
 };
 
-/// A session over TCP to a primary, through as many proxies as `relayed` says.
+/// The transcript of a session served by the entry itself or, if `relayed`, relayed to the owner.
 std::string played_transcript(const std::vector<std::string>& lines, bool relayed, std::uint16_t port) {
     two_proxies path{5, port};
     path.entry.host.set_proxies(path.places(relayed ? 20 : 1));
@@ -304,10 +304,9 @@
 
 } // namespace
 
-// A buyer behind a proxy without connections gets other answers than one behind
-// its owner: what the relay answers ahead, keeps and replays has to read to the
-// caller as if one proxy had served the session.
-BOOST_AUTO_TEST_CASE(a_relayed_session_reads_as_one_that_is_served_here) {
+// Guards against replies that depend on the proxy a caller connects to: a relaying proxy answers some statements
+// itself, keeps session state and replays it, and the caller must not see a difference.
+BOOST_AUTO_TEST_CASE(a_relayed_session_gets_the_same_replies_as_a_local_one) {
     const std::vector<std::string> lines{
         "STARTUP strict u1",        "QUERY 1 SET lang fj",     "QUERY 2 PREPARE r_1 READ q1",
         "QUERY 3 READ oven",        "QUERY 4 BEGIN",           "QUERY 5 SET lang en",
@@ -324,10 +323,9 @@
     BOOST_TEST(here.find("closed") == std::string::npos);
 }
 
-// A reservation is late by a second: the owner that its session goes to is
-// behind a cut path. Connections to it open, and nothing is answered. Nothing
-// was sent there that could have run, so that another owner may run it.
-BOOST_AUTO_TEST_CASE(a_write_goes_to_another_owner_when_the_first_is_silent) {
+// Guards against a write delayed by a second because its connection owner is unreachable: connections to it open, but
+// nothing is answered. Nothing that could have run was sent there, so another owner may run the write.
+BOOST_AUTO_TEST_CASE(a_write_is_sent_to_another_owner_when_the_first_is_unresponsive) {
     two_proxies path{8, 27341};
     tcp::acceptor silent{path.io, tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0}};
     auto places = path.places(20);
@@ -340,14 +338,14 @@
     const auto begun = boot_clock::now();
     const auto transcript = path.play({"STARTUP strict u1", "QUERY 1 SET lang fj", "QUERY 2 WRITE oven sold"});
     BOOST_TEST(transcript.find("COMPLETE sig.") != std::string::npos, transcript);
-    // The write ran once; the value came as a statement of the owner's own.
-    BOOST_TEST(path.primary.callers_lines.size() == 1U);
+    // The write ran once. The session value is not counted: the owner sets it with a statement of its own.
+    BOOST_TEST(path.primary.caller_statements.size() == 1U);
     BOOST_TEST((boot_clock::now() - begun < 600ms));
 }
 
-// A stranger opens a session in the words of a proxy that relays one, with the
-// digest of a key he has seen, and is let in as the account it stands for.
-BOOST_AUTO_TEST_CASE(a_caller_cannot_pass_for_a_proxy) {
+// Guards against a caller that opens a session like a relaying proxy, with the digest of another account's key, and is
+// accepted as that account.
+BOOST_AUTO_TEST_CASE(a_caller_cannot_impersonate_a_proxy) {
     const session::session_opening opening{.database = "strict",
                                            .relayed = true,
                                            .last_commit = sql::log_position{3, 17},
@@ -364,8 +362,8 @@
     BOOST_TEST((back->key == opening.key));
     BOOST_TEST((back->last_commit == opening.last_commit));
     BOOST_TEST(back->config_version == 12U);
-    for (const auto* odd : {"RELAY", "RELAY strict", "RELAY strict 00 1 -", "RELAY strict zz 1 -"}) {
-        BOOST_TEST(std::holds_alternative<session::malformed_input>(platform::decode_peer_line(odd)), odd);
+    for (const auto* invalid : {"RELAY", "RELAY strict", "RELAY strict 00 1 -", "RELAY strict zz 1 -"}) {
+        BOOST_TEST(std::holds_alternative<session::malformed_input>(platform::decode_peer_line(invalid)), invalid);
     }
 }
 
