--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -82,15 +82,15 @@
     void add_dump(std::function<Json::Value()> traffic) { m_dump_traffic = std::move(traffic); }
 
     /// How this proxy keeps up with a table of the store at present.
-    [[nodiscard]] watch_pace pace(followed what) const;
+    [[nodiscard]] watch_mode watch_mode_of(cached_table what) const;
 
     /// The store said that this proxy's copy was current at that time. One that
     /// has returned from an older copy says so of a configuration that others know
     /// to be replaced.
-    void note_current(followed what, time_point at) {
+    void mark_current(cached_table what, time_point at) {
         auto& news = m_followed.at(place(what));
-        if (what != followed::configuration || news.store_vouches_for(m_config.version)) {
-            news.note_current(at);
+        if (what != cached_table::configuration || news.store_vouches_for(m_config.version)) {
+            news.mark_current(at);
         }
         tell_proof();
     }
@@ -98,7 +98,7 @@
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
 
     [[nodiscard]] const control_counts& counts() const noexcept { return m_counts; }
-    [[nodiscard]] const peer_traffic& heard_from_peers() const noexcept { return m_peer_traffic; }
+    [[nodiscard]] const peer_traffic& received_from_peers() const noexcept { return m_peer_traffic; }
 
     /// The store may have lost this proxy's row, which it writes again.
     void register_again() { asio::co_spawn(m_executor, write_own_row_again(), asio::detached); }
@@ -134,9 +134,9 @@
 
     void take(routing::configuration config);
     asio::awaitable<result<Json::Value>> dump();
-    [[nodiscard]] static constexpr std::size_t place(followed what) { return static_cast<std::size_t>(what); }
-    [[nodiscard]] std::uint64_t version_of(followed what) const {
-        return what == followed::configuration ? m_config.version : m_registry.effective().version;
+    [[nodiscard]] static constexpr std::size_t place(cached_table what) { return static_cast<std::size_t>(what); }
+    [[nodiscard]] std::uint64_t version_of(cached_table what) const {
+        return what == cached_table::configuration ? m_config.version : m_registry.effective().version;
     }
     [[nodiscard]] std::vector<std::string> sharing_the_watch(time_point now) const;
     [[nodiscard]] bool fetches_from_afar(time_point now) const;
@@ -253,8 +253,8 @@
     control_counts m_counts;
     peer_traffic m_peer_traffic;
     std::function<Json::Value()> m_dump_traffic{[] { return Json::Value{}; }};
-    /// By `followed`.
-    std::array<table_news, 2> m_followed;
+    /// By `cached_table`.
+    std::array<table_freshness, 2> m_followed;
     std::function<bool()> m_store_reachable{[] { return true; }};
     /// What the traffic side was last told of the configuration's age.
     time_point m_proof_told{};
--- a/src/cornellever/cluster/control.ipp
+++ b/src/cornellever/cluster/control.ipp
@@ -59,7 +59,7 @@
         log_event(event::stored_config_older,
                   "version=" + std::to_string(m_config.version) + " stored=" + std::to_string(config.version));
     }
-    m_followed.at(place(followed::configuration)).note_stored(config.version);
+    m_followed.at(place(cached_table::configuration)).note_stored(config.version);
     take(std::move(config));
 }
 
--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -9,8 +9,8 @@
     const auto now = boot_clock::now();
     // Rounded up: what is proved by an age must not look younger than it is.
     const auto age = [now](time_point at) { return std::chrono::ceil<std::chrono::milliseconds>(now - at); };
-    const auto age_of = [&](followed table) -> std::optional<std::chrono::milliseconds> {
-        const auto at = m_followed.at(place(table)).current_at();
+    const auto age_of = [&](cached_table table) -> std::optional<std::chrono::milliseconds> {
+        const auto at = m_followed.at(place(table)).confirmed_current_at();
         return at == time_point{} ? std::nullopt : std::optional{age(at)};
     };
     peer_message out{.what = what,
@@ -20,8 +20,8 @@
                      .incarnation = m_settings.incarnation,
                      .config_version = m_config.version,
                      .registry_version = m_registry.effective().version,
-                     .config_age = age_of(followed::configuration),
-                     .registry_age = age_of(followed::servers),
+                     .config_age = age_of(cached_table::configuration),
+                     .registry_age = age_of(cached_table::servers),
                      .store_reachable = m_store_reachable()};
     for (const auto& [name, seen] : m_sights) {
         const auto& sight = seen.primary;
@@ -98,7 +98,7 @@
     m_last_heartbeat = now;
     auto message = message_now(peer_message::kind::question);
     message.nonce = ++m_last_nonce;
-    if (m_members.counted() > few_proxies_watch) {
+    if (m_members.counted() > small_cluster_size) {
         // Whoever shares a service asks as well, and hears it in the answer: the
         // same in the question would be paid for twice.
         message.reports = false;
--- a/src/cornellever/cluster/control_settings.hpp
+++ b/src/cornellever/cluster/control_settings.hpp
@@ -23,12 +23,12 @@
     /// same port.
     tcp::endpoint sessions;
     std::vector<asio::ip::udp::endpoint> seeds;
-    /// By `followed`: how proxies share the work of keeping up with a table.
-    std::array<watch_plan, 2> watch;
+    /// By `cached_table`: how proxies share the work of keeping up with a table.
+    std::array<watch_policy, 2> watch;
     /// How long this proxy may go without word that its configuration is the
     /// newest before it asks its peers as often as it can; nothing where no key
     /// has to be dead by a bound.
-    std::optional<std::chrono::milliseconds> proof_due{};
+    std::optional<std::chrono::milliseconds> confirmation_due{};
     /// All proxies start for the first time: none is registered yet.
     bool first_start{false};
 };
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -26,7 +26,7 @@
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-watch_pace control<Store, Orders, Connector>::pace(followed what) const {
+watch_mode control<Store, Orders, Connector>::watch_mode_of(cached_table what) const {
     constexpr std::array<std::string_view, 2> names{"configuration", "servers"};
     const auto& plan = m_settings.watch.at(place(what));
     const auto& news = m_followed.at(place(what));
@@ -37,11 +37,11 @@
                                       std::ranges::any_of(others, [&](const std::string& name) {
                                           return m_members.peers().find(name)->second.store_reachable;
                                       }));
-    watch_pace out{.waits = false, .span = plan.current_for};
+    watch_mode out{.waits = false, .span = plan.max_confirmation_age};
     if (!relies) {
-        out = pace_of(plan, watch_rank(names.at(place(what)), m_settings.name, others), m_members.counted());
+        out = watch_mode_for(plan, watch_rank(names.at(place(what)), m_settings.name, others), m_members.counted());
     }
-    out.current_at = news.current_at();
+    out.confirmed_current_at = news.confirmed_current_at();
     out.behind = news.behind(version_of(what), now);
     return out;
 }
@@ -50,13 +50,15 @@
 /// after the question, however long they were under way.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::hear_of_tables(const peer_message& message, time_point counted_from) {
-    const auto hear = [&](followed what, std::uint64_t version, const std::optional<std::chrono::milliseconds>& age) {
+    const auto note_peer_version = [&](cached_table what, std::uint64_t version,
+                                       const std::optional<std::chrono::milliseconds>& age) {
         if (age) {
-            m_followed.at(place(what)).hear(version, version_of(what), counted_from - *age, boot_clock::now());
+            m_followed.at(place(what))
+                .note_peer_version(version, version_of(what), counted_from - *age, boot_clock::now());
         }
     };
-    hear(followed::configuration, message.config_version, message.config_age);
-    hear(followed::servers, message.registry_version, message.registry_age);
+    note_peer_version(cached_table::configuration, message.config_version, message.config_age);
+    note_peer_version(cached_table::servers, message.registry_version, message.registry_age);
     tell_proof();
 }
 
@@ -64,8 +66,8 @@
 /// a key are refused until somebody says that the copy is the newest.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 bool control<Store, Orders, Connector>::lacks_proof(time_point now) const {
-    const auto at = m_followed.at(place(followed::configuration)).current_at();
-    return m_settings.proof_due && at != time_point{} && now - at > *m_settings.proof_due;
+    const auto at = m_followed.at(place(cached_table::configuration)).confirmed_current_at();
+    return m_settings.confirmation_due && at != time_point{} && now - at > *m_settings.confirmation_due;
 }
 
 /// Tells the traffic side how far it may rely on its configuration. It comes
@@ -73,7 +75,7 @@
 /// copy than the one it was given for.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::tell_proof() {
-    const auto at = m_followed.at(place(followed::configuration)).current_at();
+    const auto at = m_followed.at(place(cached_table::configuration)).confirmed_current_at();
     if (at > m_proof_told) {
         m_proof_told = at;
         m_bridge.prove_configuration(at);
@@ -113,7 +115,7 @@
     auto lead = config_behind ? feed_lead : registry_lead;
     if (!m_store_reachable()) {
         lead = std::chrono::milliseconds{0};
-    } else if (!pace(config_behind ? followed::configuration : followed::servers).waits) {
+    } else if (!watch_mode_of(config_behind ? cached_table::configuration : cached_table::servers).waits) {
         const bool near = message.data_center == m_settings.data_center;
         lead = near || fetches_from_afar(now) ? std::chrono::milliseconds{0} : far_lead;
     }
--- a/src/cornellever/cluster/describe.hpp
+++ b/src/cornellever/cluster/describe.hpp
@@ -31,7 +31,7 @@
 
 /// The same as fields of a log line, for where only logs are at hand.
 template <metadata_store Store>
-[[nodiscard]] std::string exchanged(const counted_store<Store>& store, const peer_traffic& traffic) {
+[[nodiscard]] std::string traffic_log_fields(const counted_store<Store>& store, const peer_traffic& traffic) {
     std::string out;
     for (const auto& item : store.counts()) {
         out += "store." + item.table + "." + std::string{to_string(item.why)} + "=" + std::to_string(item.calls) + " ";
--- a/src/cornellever/cluster/store_watch.hpp
+++ b/src/cornellever/cluster/store_watch.hpp
@@ -13,7 +13,7 @@
 namespace cornellever::cluster {
 
 /// How a proxy keeps up with a table of the metadata store.
-struct watch_pace {
+struct watch_mode {
     /// Whether it waits for changes at the store. Otherwise it learns of them
     /// from its peers, and asks by itself where they leave it without word.
     bool waits{true};
@@ -21,32 +21,32 @@
     /// peers: how old their word may be that its copy of the table is current.
     std::chrono::milliseconds span{0};
     /// The moment of which peers said so; the epoch when none did.
-    boot_clock::time_point current_at{};
+    boot_clock::time_point confirmed_current_at{};
     /// A peer holds a newer version than this proxy.
     bool behind{false};
 };
 
 /// The pace for a table. Every call to the store is paid for and wakes a
 /// proxy, and the store takes a limited number of calls from all together.
-struct watch_plan {
+struct watch_policy {
     /// One proxy, the first of the table, asks at short intervals. A connection
     /// that went silent shows at the end of the interval; its peers hear from
     /// it what theirs did not bring.
     std::chrono::milliseconds first{0};
     /// The others, while the proxies are few.
-    std::chrono::milliseconds few{0};
+    std::chrono::milliseconds small_cluster{0};
     /// With many proxies, those after the first that wait too: what they hear
     /// keeps the others current.
-    std::chrono::milliseconds many{0};
+    std::chrono::milliseconds large_cluster{0};
     /// With many proxies, only so many wait for changes.
-    std::size_t readers{0};
+    std::size_t max_readers{0};
     /// With many proxies, the others ask by themselves when nobody said for so
     /// long that their copy is current.
-    std::chrono::milliseconds current_for{0};
+    std::chrono::milliseconds max_confirmation_age{0};
 };
 
 /// With up to so many proxies every one waits for changes by itself.
-inline constexpr std::size_t few_proxies_watch = 12;
+inline constexpr std::size_t small_cluster_size = 12;
 
 /// The place of `self` among the proxies that reach the store, other for each
 /// table, so that not always the same ones do the work.
@@ -59,17 +59,17 @@
 }
 
 /// The pace of the proxy of this rank among so many.
-[[nodiscard]] constexpr watch_pace pace_of(const watch_plan& plan, std::size_t rank, std::size_t proxies) {
+[[nodiscard]] constexpr watch_mode watch_mode_for(const watch_policy& plan, std::size_t rank, std::size_t proxies) {
     if (rank == 0) {
         return {.waits = true, .span = plan.first};
     }
-    if (proxies <= few_proxies_watch) {
-        return {.waits = true, .span = plan.few};
+    if (proxies <= small_cluster_size) {
+        return {.waits = true, .span = plan.small_cluster};
     }
-    if (rank >= plan.readers) {
-        return {.waits = false, .span = plan.current_for};
+    if (rank >= plan.max_readers) {
+        return {.waits = false, .span = plan.max_confirmation_age};
     }
-    return {.waits = true, .span = plan.many};
+    return {.waits = true, .span = plan.large_cluster};
 }
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/table_follower.hpp
+++ b/src/cornellever/cluster/table_follower.hpp
@@ -35,7 +35,7 @@
     /// noticed when the wait that it told has passed, plus the store's own call
     /// limit.
     table_follower(
-        Store& store, std::string table, std::function<watch_pace()> pace, on_change changed,
+        Store& store, std::string table, std::function<watch_mode()> pace, on_change changed,
         on_current current = [](boot_clock::time_point) {})
         : m_store{store}
         , m_table{std::move(table)}
@@ -57,7 +57,7 @@
                 note_answer();
                 const bool changes = !got->rows.empty();
                 take(std::move(*got));
-                note_current(changes ? std::chrono::milliseconds{0} : wait);
+                mark_current(changes ? std::chrono::milliseconds{0} : wait);
                 continue;
             }
             if (got.error().code == errc::behind) {
@@ -103,16 +103,16 @@
     }
 
     /// Whether this proxy has the table, from the store or from a peer.
-    [[nodiscard]] bool has_copy(const watch_pace& pace) const {
-        return m_whole || pace.current_at != boot_clock::time_point{};
+    [[nodiscard]] bool has_copy(const watch_mode& pace) const {
+        return m_whole || pace.confirmed_current_at != boot_clock::time_point{};
     }
 
-    [[nodiscard]] bool relies_on_peers(const watch_pace& pace) const {
+    [[nodiscard]] bool relies_on_peers(const watch_mode& pace) const {
         if (pace.waits || !has_copy(pace)) {
             return false;
         }
         const auto now = boot_clock::now();
-        const bool current = now - std::max(pace.current_at, m_current_at) < pace.span;
+        const bool current = now - std::max(pace.confirmed_current_at, m_current_at) < pace.span;
         if (m_failures > 0) {
             return now < m_try_at && !(current && !m_was_current);
         }
@@ -129,7 +129,7 @@
     /// An answer says how things were when the store gave it: after the question
     /// came, and where it waited for changes in vain, after the wait. One that
     /// brings changes was given as soon as there were any, however late it comes.
-    void note_current(std::chrono::milliseconds waited) {
+    void mark_current(std::chrono::milliseconds waited) {
         const auto now = boot_clock::now();
         m_current_at = std::max(m_current_at, now - m_asked_at >= waited ? m_asked_at + waited : m_asked_at);
         // Rows that could not be taken leave an older copy in force, which must
@@ -181,9 +181,9 @@
         m_failures = 0;
     }
 
-    void note_failure(const error& why, const watch_pace& pace) {
+    void note_failure(const error& why, const watch_mode& pace) {
         const auto now = boot_clock::now();
-        m_was_current = now - std::max(pace.current_at, m_current_at) < pace.span;
+        m_was_current = now - std::max(pace.confirmed_current_at, m_current_at) < pace.span;
         m_try_at = now + spread(turned_away_pause / 2, turned_away_pause);
         if (++m_failures == 1) {
             log_event(event::store_lost,
@@ -209,7 +209,7 @@
 
     Store& m_store;
     std::string m_table;
-    std::function<watch_pace()> m_pace;
+    std::function<watch_mode()> m_pace;
     on_change m_changed;
     on_current m_current;
     table_rows m_rows;
--- a/src/cornellever/cluster/table_news.hpp
+++ b/src/cornellever/cluster/table_news.hpp
@@ -9,27 +9,27 @@
 namespace cornellever::cluster {
 
 /// The tables of the metadata store of which every proxy holds a copy.
-enum class followed { configuration, servers };
+enum class cached_table { configuration, servers };
 
 /// What is known of a table beside the copy at hand: when that copy was last
 /// known to be current, by the store's word or a peer's, and the newest version
 /// that a peer was heard to hold. Few proxies ask the store; with the age of
 /// its word in every heartbeat the others know how far they may rely on them.
-class table_news {
+class table_freshness {
 public:
     using time_point = boot_clock::time_point;
 
-    void note_current(time_point at) { m_current_at = std::max(m_current_at, at); }
+    void mark_current(time_point at) { m_current_at = std::max(m_current_at, at); }
 
     /// A peer holds `theirs`, which was current at `at`, where this proxy holds
     /// `mine`. An older copy says nothing of this one.
-    void hear(std::uint64_t theirs, std::uint64_t mine, time_point at, time_point now) {
+    void note_peer_version(std::uint64_t theirs, std::uint64_t mine, time_point at, time_point now) {
         if (theirs > m_newest) {
             m_newest = theirs;
             m_newest_heard_at = now;
         }
         if (theirs == mine) {
-            note_current(at);
+            mark_current(at);
         }
     }
 
@@ -43,7 +43,7 @@
         return m_newest <= mine && m_stored >= mine;
     }
 
-    [[nodiscard]] time_point current_at() const noexcept { return m_current_at; }
+    [[nodiscard]] time_point confirmed_current_at() const noexcept { return m_current_at; }
 
     /// Whether a peer has had a newer version for so long that it should be here
     /// by now.
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -188,19 +188,20 @@
     constexpr int moves = 5;
     struct proxy {
         std::uint64_t version{1};
-        cluster::table_news news;
+        cluster::table_freshness news;
         accounts::configuration_lease lease{bound};
-        void prove() { lease.prove(news.current_at()); }
+        void prove() { lease.prove(news.confirmed_current_at()); }
     };
     const auto ask_store = [](proxy& one, std::uint64_t newest, boot_clock::time_point asked) {
         one.version = newest;
-        one.news.note_current(asked);
+        one.news.mark_current(asked);
         one.prove();
     };
-    const auto hear = [](proxy& one, const proxy& other, boot_clock::time_point asked, boot_clock::time_point now) {
-        if (other.news.current_at() != boot_clock::time_point{}) {
-            const auto age = asked - other.news.current_at();
-            one.news.hear(other.version, one.version, asked - age, now);
+    const auto note_peer_version = [](proxy& one, const proxy& other, boot_clock::time_point asked,
+                                      boot_clock::time_point now) {
+        if (other.news.confirmed_current_at() != boot_clock::time_point{}) {
+            const auto age = asked - other.news.confirmed_current_at();
+            one.news.note_peer_version(other.version, one.version, asked - age, now);
         }
         one.prove();
     };
@@ -227,10 +228,10 @@
                 ask_store(b, newest, asked);
                 break;
             case 3:
-                hear(a, b, asked, now);
+                note_peer_version(a, b, asked, now);
                 break;
             case 4:
-                hear(b, a, asked, now);
+                note_peer_version(b, a, asked, now);
                 break;
             default:
                 break;
--- a/tests/unit/cluster.cpp
+++ b/tests/unit/cluster.cpp
@@ -457,7 +457,7 @@
     std::vector<std::pair<std::size_t, std::string>> seen_rows;
     cluster::table_follower follower{store, "t",
                                      [] {
-                                         return cluster::watch_pace{true, 10ms};
+                                         return cluster::watch_mode{true, 10ms};
                                      },
                                      [&](const cluster::table_rows& rows, std::uint64_t) {
                                          seen_rows.emplace_back(rows.size(), rows.at("a").value);
@@ -478,11 +478,11 @@
 // answers a limited number a second from all together.
 BOOST_AUTO_TEST_CASE(few_of_many_proxies_wait_for_changes) {
     using namespace cornellever::cluster;
-    constexpr watch_plan plan{.first = 1s, .few = 8s, .many = 12s, .readers = 4};
-    BOOST_TEST((pace_of(plan, 0, 64).waits && pace_of(plan, 0, 64).span == 1s));
-    BOOST_TEST((pace_of(plan, 3, 64).waits && pace_of(plan, 3, 64).span == 12s));
-    BOOST_TEST(!pace_of(plan, 4, 64).waits);
-    BOOST_TEST((pace_of(plan, 4, 7).waits && pace_of(plan, 4, 7).span == 8s));
+    constexpr watch_policy plan{.first = 1s, .small_cluster = 8s, .large_cluster = 12s, .max_readers = 4};
+    BOOST_TEST((watch_mode_for(plan, 0, 64).waits && watch_mode_for(plan, 0, 64).span == 1s));
+    BOOST_TEST((watch_mode_for(plan, 3, 64).waits && watch_mode_for(plan, 3, 64).span == 12s));
+    BOOST_TEST(!watch_mode_for(plan, 4, 64).waits);
+    BOOST_TEST((watch_mode_for(plan, 4, 7).waits && watch_mode_for(plan, 4, 7).span == 8s));
     const std::vector<std::string> able{"a", "b", "c", "d", "e"};
     std::set<std::size_t> ranks;
     for (const auto& name : able) {
@@ -502,7 +502,7 @@
     std::vector<std::uint64_t> versions;
     cluster::table_follower follower{store, "t",
                                      [&] {
-                                         return cluster::watch_pace{std::exchange(turn, true), 1h};
+                                         return cluster::watch_mode{std::exchange(turn, true), 1h};
                                      },
                                      [&](const cluster::table_rows&, std::uint64_t version) {
                                          versions.push_back(version);
--- a/tests/unit/store_watch.cpp
+++ b/tests/unit/store_watch.cpp
@@ -64,24 +64,24 @@
     asio::awaitable<void> keep_current(std::chrono::milliseconds span) {
         const auto until = boot_clock::now() + span;
         while (boot_clock::now() < until) {
-            pace.current_at = boot_clock::now();
+            pace.confirmed_current_at = boot_clock::now();
             co_await sleep_for(20ms);
         }
     }
 
     event_loop io;
     small_store store;
-    cluster::watch_pace pace{.waits = false, .span = 300ms};
+    cluster::watch_mode pace{.waits = false, .span = 300ms};
     std::vector<std::uint64_t> versions;
     /// Whether the rows can be decoded.
     bool takes{true};
-    boot_clock::time_point current_at{};
+    boot_clock::time_point confirmed_current_at{};
     cluster::table_follower<small_store> follower{store, "t", [this] { return pace; },
                                                   [this](const cluster::table_rows&, std::uint64_t version) {
                                                       versions.push_back(version);
                                                       return takes;
                                                   },
-                                                  [this](boot_clock::time_point at) { current_at = at; }};
+                                                  [this](boot_clock::time_point at) { confirmed_current_at = at; }};
 };
 
 } // namespace
@@ -160,20 +160,20 @@
     table.pace = {.waits = true, .span = 100ms};
     const auto begun = boot_clock::now();
     table.play(250ms);
-    BOOST_TEST((table.current_at >= begun + 100ms));
-    BOOST_TEST((table.current_at <= boot_clock::now()));
+    BOOST_TEST((table.confirmed_current_at >= begun + 100ms));
+    BOOST_TEST((table.confirmed_current_at <= boot_clock::now()));
 }
 
 BOOST_AUTO_TEST_CASE(an_older_copy_of_a_peer_vouches_for_nothing) {
-    cluster::table_news news;
+    cluster::table_freshness news;
     const boot_clock::time_point at{1h};
-    news.hear(6, 6, at, at);
-    BOOST_TEST((news.current_at() == at));
-    news.hear(5, 6, at + 1s, at + 1s);
-    BOOST_TEST((news.current_at() == at));
+    news.note_peer_version(6, 6, at, at);
+    BOOST_TEST((news.confirmed_current_at() == at));
+    news.note_peer_version(5, 6, at + 1s, at + 1s);
+    BOOST_TEST((news.confirmed_current_at() == at));
     BOOST_TEST(!news.behind(6, at + 10s));
-    news.hear(7, 6, at + 1s, at + 2s);
-    BOOST_TEST((news.current_at() == at));
+    news.note_peer_version(7, 6, at + 1s, at + 2s);
+    BOOST_TEST((news.confirmed_current_at() == at));
     // Peers get the time to pass it on.
     BOOST_TEST(!news.behind(6, at + 2s));
     BOOST_TEST(news.behind(6, at + 4s));
@@ -182,7 +182,7 @@
 
 // Guards against a store that lost the newest configuration and vouches for the one before.
 BOOST_AUTO_TEST_CASE(a_store_that_shows_an_older_copy_vouches_for_nothing) {
-    cluster::table_news news;
+    cluster::table_freshness news;
     news.note_stored(6);
     BOOST_TEST(news.store_vouches_for(6));
     news.note_stored(5);
@@ -191,7 +191,7 @@
     news.note_stored(6);
     BOOST_TEST(news.store_vouches_for(6));
     const boot_clock::time_point at{1h};
-    news.hear(7, 6, at, at);
+    news.note_peer_version(7, 6, at, at);
     BOOST_TEST(!news.store_vouches_for(6));
 }
 
@@ -235,7 +235,7 @@
     table.takes = false;
     table.play(100ms);
     BOOST_TEST(table.versions.size() == 1U);
-    BOOST_TEST((table.current_at == boot_clock::time_point{}));
+    BOOST_TEST((table.confirmed_current_at == boot_clock::time_point{}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
