--- a/src/cornellever/cluster/registry_keeper.cpp
+++ b/src/cornellever/cluster/registry_cache.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/cluster/registry_keeper.hpp"
+#include "cornellever/cluster/registry_cache.hpp"
 
 #include <vector>
 
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -5,7 +5,7 @@
 
 #include "cornellever/accounts/gate.hpp"
 #include "cornellever/cluster/snapshot.hpp"
-#include "cornellever/cluster/table_news.hpp"
+#include "cornellever/cluster/table_freshness.hpp"
 #include "cornellever/session/describe.hpp"
 #include "proxy_in_memory.hpp"
 
--- a/tests/unit/cluster.cpp
+++ b/tests/unit/cluster.cpp
@@ -7,7 +7,7 @@
 #include "cornellever/cluster/membership.hpp"
 #include "cornellever/cluster/peer_message.hpp"
 #include "cornellever/cluster/primary_judge.hpp"
-#include "cornellever/cluster/registry_keeper.hpp"
+#include "cornellever/cluster/registry_cache.hpp"
 #include "cornellever/cluster/snapshot.hpp"
 #include "cornellever/cluster/store_watch.hpp"
 #include "cornellever/cluster/table_follower.hpp"
--- a/tests/unit/store_watch.cpp
+++ b/tests/unit/store_watch.cpp
@@ -4,7 +4,7 @@
 
 #include "cornellever/cluster/counted_store.hpp"
 #include "cornellever/cluster/table_follower.hpp"
-#include "cornellever/cluster/table_news.hpp"
+#include "cornellever/cluster/table_freshness.hpp"
 #include "cornellever/core/daemon.hpp"
 
 using namespace cornellever;
