--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -71,9 +71,9 @@
     /// Takes the configuration that the store shows; an older one than that at
     /// hand changes nothing, but the store's word proves nothing until it has
     /// caught up.
-    void take_stored(routing::configuration config);
+    void apply_stored(routing::configuration config);
     /// Takes the registered servers, from the store.
-    void take(const routing::registry& registered);
+    void apply(const routing::registry& registered);
 
     /// Whether the store answers this proxy at present.
     void set_store_reachable(std::function<bool()> reachable) { m_store_reachable = std::move(reachable); }
@@ -132,7 +132,7 @@
         time_point sent_at;
     };
 
-    void take(routing::configuration config);
+    void apply(routing::configuration config);
     asio::awaitable<result<Json::Value>> dump();
     [[nodiscard]] static constexpr std::size_t place(cached_table what) { return static_cast<std::size_t>(what); }
     [[nodiscard]] std::uint64_t version_of(cached_table what) const {
--- a/src/cornellever/cluster/control.ipp
+++ b/src/cornellever/cluster/control.ipp
@@ -54,17 +54,17 @@
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::take_stored(routing::configuration config) {
+void control<Store, Orders, Connector>::apply_stored(routing::configuration config) {
     if (config.version < m_config.version) {
         log_event(event::stored_config_older,
                   "version=" + std::to_string(m_config.version) + " stored=" + std::to_string(config.version));
     }
     m_followed.at(place(cached_table::configuration)).note_stored(config.version);
-    take(std::move(config));
+    apply(std::move(config));
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::take(routing::configuration config) {
+void control<Store, Orders, Connector>::apply(routing::configuration config) {
     if (config.version <= m_config.version) {
         return;
     }
@@ -77,7 +77,7 @@
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::take(const routing::registry& registered) {
+void control<Store, Orders, Connector>::apply(const routing::registry& registered) {
     m_behind_since = {};
     if (registered.version < m_registry.effective().version) {
         return;
@@ -86,7 +86,7 @@
         m_registry.renumber(registered.version);
         return;
     }
-    m_registry.take(registered, boot_clock::now());
+    m_registry.apply(registered, boot_clock::now());
     log_event(event::registry_loaded, "version=" + std::to_string(registered.version) +
                                           " servers=" + std::to_string(registered.servers.size()));
     m_bridge.update(m_registry.effective());
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -174,12 +174,12 @@
     log_event(event::config_loaded, "peer=" + from + " version=" + std::to_string(got->config.version) +
                                         " registry=" + std::to_string(got->servers.version));
     const bool newer_config = got->config.version > m_config.version;
-    take(std::move(got->config));
+    apply(std::move(got->config));
     if (newer_config) {
         m_packed_config = std::move(got->packed_config);
     }
     if (got->servers.version != 0) {
-        take(got->servers);
+        apply(got->servers);
     }
 }
 
--- a/src/cornellever/cluster/registry_cache.cpp
+++ b/src/cornellever/cluster/registry_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace cornellever::cluster {
 
-void registry_keeper::take(const routing::registry& registered, time_point now) {
+void registry_keeper::apply(const routing::registry& registered, time_point now) {
     m_registered = registered;
     auto next = registered;
     for (const auto& [id, server] : m_effective.servers) {
--- a/src/cornellever/cluster/registry_cache.hpp
+++ b/src/cornellever/cluster/registry_cache.hpp
@@ -24,7 +24,7 @@
     registry_keeper& operator=(const registry_keeper&) = delete;
 
     /// Takes the registered servers as they are now.
-    void take(const routing::registry& registered, time_point now);
+    void apply(const routing::registry& registered, time_point now);
 
     /// The same servers under a newer version.
     void renumber(std::uint64_t version) {
--- a/tests/unit/cluster.cpp
+++ b/tests/unit/cluster.cpp
@@ -397,16 +397,16 @@
 // server is well: their entries had expired meanwhile.
 BOOST_AUTO_TEST_CASE(servers_whose_entry_went_are_kept_for_a_while) {
     cluster::registry_keeper keeper;
-    keeper.take(test::three_servers(), start);
+    keeper.apply(test::three_servers(), start);
     auto fewer = test::three_servers();
     fewer.servers.erase("r1");
-    keeper.take(fewer, start + 1s);
+    keeper.apply(fewer, start + 1s);
     BOOST_TEST(keeper.effective().servers.contains("r1"));
     BOOST_TEST((keeper.missing_for("r1", start + 2s) == 1000ms));
     BOOST_TEST(!keeper.missing_for("p", start + 2s));
-    keeper.take(test::three_servers(), start + 3s);
+    keeper.apply(test::three_servers(), start + 3s);
     BOOST_TEST(!keeper.missing_for("r1", start + 3s));
-    keeper.take(fewer, start + 4s);
+    keeper.apply(fewer, start + 4s);
     BOOST_TEST(!keeper.expire(start + 8s));
     BOOST_TEST(keeper.expire(start + 9s));
     BOOST_TEST(!keeper.effective().servers.contains("r1"));
@@ -416,9 +416,9 @@
     cluster::registry_keeper keeper;
     auto servers = test::three_servers();
     servers.servers["r1"].draining = true;
-    keeper.take(servers, start);
+    keeper.apply(servers, start);
     servers.servers.erase("r1");
-    keeper.take(servers, start + 1s);
+    keeper.apply(servers, start + 1s);
     BOOST_TEST(!keeper.effective().servers.contains("r1"));
 }
 
@@ -430,13 +430,13 @@
     registered.servers.emplace("a2", routing::backend_server{.id = "a2", .service = "a"});
     registered.servers.emplace("b1", routing::backend_server{.id = "b1", .service = "b"});
     cluster::registry_keeper keeper;
-    keeper.take(registered, start);
+    keeper.apply(registered, start);
     BOOST_TEST(keeper.by_service().size() == 2U);
     BOOST_TEST(keeper.by_service().at("a").size() == 2U);
     registered.version = 2;
     registered.servers.erase("a2");
     registered.servers.emplace("c1", routing::backend_server{.id = "c1", .service = "c"});
-    keeper.take(registered, start + 1s);
+    keeper.apply(registered, start + 1s);
     BOOST_TEST(keeper.by_service().at("a").size() == 2U);
     BOOST_TEST(keeper.by_service().at("c").front()->id == "c1");
     BOOST_TEST(keeper.expire(start + 10s));
