--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -88,11 +88,11 @@
     /// has returned from an older copy says so of a configuration that others know
     /// to be replaced.
     void mark_current(cached_table what, time_point at) {
-        auto& news = m_followed.at(place(what));
-        if (what != cached_table::configuration || news.store_vouches_for(m_config.version)) {
-            news.mark_current(at);
+        auto& freshness = m_freshness.at(index_of(what));
+        if (what != cached_table::configuration || freshness.store_confirms(m_config.version)) {
+            freshness.mark_current(at);
         }
-        tell_proof();
+        publish_confirmation();
     }
 
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
@@ -101,7 +101,7 @@
     [[nodiscard]] const peer_traffic& received_from_peers() const noexcept { return m_peer_traffic; }
 
     /// The store may have lost this proxy's row, which it writes again.
-    void register_again() { asio::co_spawn(m_executor, write_own_row_again(), asio::detached); }
+    void register_again() { asio::co_spawn(m_executor, rewrite_own_row(), asio::detached); }
 
     /// This proxy stops by plan: it replaces no primary any more, and those
     /// that start from now on do not learn of it.
@@ -112,41 +112,41 @@
 
 private:
     /// What was last known of a service's primary.
-    struct watch {
+    struct service_state {
         std::string primary;
         time_point leaderless_since{};
         time_point judged_since{};
         primary_verdict verdict{primary_verdict::fine};
         bool replacing{false};
-        time_point not_before{};
+        time_point retry_at{};
     };
 
     /// What a peer says of a primary, and the time from which its ages count.
-    struct heard_report {
+    struct peer_report {
         const primary_report* report{nullptr};
         time_point at{};
     };
-    using reports_by_service = std::unordered_map<std::string_view, std::vector<heard_report>>;
+    using reports_by_service = std::unordered_map<std::string_view, std::vector<peer_report>>;
 
-    struct asked {
+    struct sent_question {
         time_point sent_at;
     };
 
     void apply(routing::configuration config);
     asio::awaitable<result<Json::Value>> dump();
-    [[nodiscard]] static constexpr std::size_t place(cached_table what) { return static_cast<std::size_t>(what); }
+    [[nodiscard]] static constexpr std::size_t index_of(cached_table what) { return static_cast<std::size_t>(what); }
     [[nodiscard]] std::uint64_t version_of(cached_table what) const {
         return what == cached_table::configuration ? m_config.version : m_registry.effective().version;
     }
-    [[nodiscard]] std::vector<std::string> sharing_the_watch(time_point now) const;
-    [[nodiscard]] bool fetches_from_afar(time_point now) const;
+    [[nodiscard]] std::vector<std::string> watch_candidates(time_point now) const;
+    [[nodiscard]] bool fetches_across_data_centers(time_point now) const;
     asio::awaitable<void> receive();
     asio::awaitable<void> tick();
     asio::awaitable<void> register_self();
-    asio::awaitable<void> write_own_row_again();
+    asio::awaitable<void> rewrite_own_row();
     [[nodiscard]] std::string own_row() const;
-    asio::awaitable<void> take_proxies(store_rows listed);
-    asio::awaitable<void> name_cluster();
+    asio::awaitable<void> load_proxies(store_rows listed);
+    asio::awaitable<void> create_cluster_id();
     /// Short, since every message carries it; never 0.
     [[nodiscard]] static std::uint64_t cluster_id(std::string_view name) noexcept {
         return stable_hash({name}) % 0xffffffffU + 1;
@@ -155,33 +155,33 @@
     asio::awaitable<void> catch_up(std::string from, asio::ip::address address);
     asio::awaitable<void> replace(std::string service, std::string old, primary_verdict why);
     void handle(const peer_message& message, const asio::ip::udp::endpoint& from);
-    void hear_of_tables(const peer_message& message, time_point counted_from);
+    void apply_table_ages(const peer_message& message, time_point ages_as_of);
     void compare_versions(const peer_message& message, const asio::ip::udp::endpoint& from, time_point now);
-    void take_reports(const peer_message& message, const asio::ip::udp::endpoint& from, time_point counted_from);
-    void ask_peers();
-    static void log_members(event what, const std::vector<std::string>& names, std::string_view more);
-    void greet_all();
-    [[nodiscard]] std::vector<asio::ip::udp::endpoint> everybody() const;
+    void forward_reports(const peer_message& message, const asio::ip::udp::endpoint& from, time_point ages_as_of);
+    void send_heartbeats();
+    static void log_members(event what, const std::vector<std::string>& names, std::string_view suffix);
+    void send_greetings();
+    [[nodiscard]] std::vector<asio::ip::udp::endpoint> all_peers() const;
     [[nodiscard]] std::set<std::string, std::less<>>
     owners_of(const std::set<std::string, std::less<>>& services) const;
-    void ask(const peers_to_ask& peers);
+    void send_questions(const heartbeat_targets& peers);
     void send(const peer_message& message, std::span<const asio::ip::udp::endpoint> to);
-    [[nodiscard]] peer_message message_now(peer_message::kind what) const;
-    void look_after_primaries();
-    void look_after(const std::string& service, std::span<const routing::backend_server* const> servers, watch& at,
-                    std::span<const heard_report> heard);
+    [[nodiscard]] peer_message build_message(peer_message::kind what) const;
+    void check_primaries();
+    void check_primary(const std::string& service, std::span<const routing::backend_server* const> servers,
+                       service_state& state, std::span<const peer_report> peer_reports);
     /// What peers that are alive say; valid until the next message of one.
-    [[nodiscard]] reports_by_service reports_heard() const;
+    [[nodiscard]] reports_by_service reports_from_peers() const;
     /// Null for a service that this proxy has not used.
-    [[nodiscard]] const service_sight* sight_of(const std::string& service) const;
-    [[nodiscard]] primary_verdict verdict_on(const watch& at, const service_sight* seen,
-                                             std::span<const heard_report> heard,
-                                             std::vector<primary_view>& views) const;
-    [[nodiscard]] std::chrono::milliseconds turn_delay(const std::string& service) const;
-    [[nodiscard]] bool suspicious() const;
-    void share_budget();
-    void tell_proof();
-    [[nodiscard]] bool lacks_proof(time_point now) const;
+    [[nodiscard]] const service_observation* observation_of(const std::string& service) const;
+    [[nodiscard]] primary_verdict verdict_for(const service_state& state, const service_observation* seen,
+                                              std::span<const peer_report> peer_reports,
+                                              std::vector<primary_view>& views) const;
+    [[nodiscard]] std::chrono::milliseconds promotion_delay(const std::string& service) const;
+    [[nodiscard]] bool any_primary_suspect() const;
+    void publish_proxies();
+    void publish_confirmation();
+    [[nodiscard]] bool confirmation_overdue(time_point now) const;
 
     static constexpr std::string_view proxies_table = "proxies";
     /// The row of that table that holds `m_cluster`; no proxy has this name.
@@ -190,46 +190,46 @@
     /// Often enough that a peer's sample is fresh for a read that may be 1.5 s
     /// old, and that two lost datagrams do not make a proxy look dead.
     static constexpr std::chrono::milliseconds heartbeat_period{500};
-    static constexpr std::chrono::milliseconds suspicious_period{100};
+    static constexpr std::chrono::milliseconds suspect_heartbeat_period{100};
     /// The first proxy in the order of names acts; the others wait their turn
     /// in case that it can't.
-    static constexpr std::chrono::milliseconds turn_step{250};
-    static constexpr std::ptrdiff_t longest_turn = 6;
+    static constexpr std::chrono::milliseconds promotion_delay_step{250};
+    static constexpr std::ptrdiff_t max_promotion_delay_steps = 6;
     static constexpr std::chrono::milliseconds retry_pause{300};
     /// No replica stays: a new server has to register first.
     static constexpr std::chrono::milliseconds successor_wait{800};
     /// Another proxy has claimed the promotion, which takes 1.2 s.
-    static constexpr std::chrono::milliseconds others_turn{1200};
+    static constexpr std::chrono::milliseconds other_claim_pause{1200};
     /// Nobody leads and nobody was asked to: longer than a promotion takes.
-    static constexpr std::chrono::milliseconds leaderless_for{1800};
+    static constexpr std::chrono::milliseconds leaderless_timeout{1800};
     /// The feed of the store is given that long before a peer is asked: half a
     /// megabyte takes 0.4 s over the slowest links (10 Mbit/s).
-    static constexpr std::chrono::milliseconds feed_lead{500};
+    static constexpr std::chrono::milliseconds feed_head_start{500};
     /// By then it has come to this data centre, unless those that fetch it are
     /// cut off.
-    static constexpr std::chrono::milliseconds far_lead{1200};
+    static constexpr std::chrono::milliseconds remote_fetch_head_start{1200};
     /// Servers leave with notice, and one that is gone shows by itself.
-    static constexpr std::chrono::milliseconds registry_lead{1500};
+    static constexpr std::chrono::milliseconds registry_head_start{1500};
     /// Until the others are known, the fewest connections are used.
-    static constexpr std::chrono::milliseconds unknown_for{1500};
+    static constexpr std::chrono::milliseconds peer_list_timeout{1500};
     /// Until an answer of a peer begins, and between two pieces of it.
-    static constexpr std::chrono::milliseconds catch_up_limit{500};
+    static constexpr std::chrono::milliseconds catch_up_timeout{500};
     /// Configurations that are being sent at a time. A small VM's link carries a
     /// few in the time of a heartbeat; those that got one pass it on, and the rest
     /// get it from them sooner than from a link that is shared by all.
-    static constexpr std::size_t most_uploads = 4;
+    static constexpr std::size_t max_uploads = 4;
     /// Pause of a proxy that got no snapshot, spread over as much again.
     static constexpr std::chrono::milliseconds catch_up_pause{60};
-    static constexpr std::size_t sampled_peers = 12;
+    static constexpr std::size_t max_service_peers_asked = 12;
     static constexpr std::chrono::milliseconds rewrite_spread{2000};
-    static constexpr int most_rewrites = 5;
+    static constexpr int max_rewrites = 5;
     /// A message tells when so many others were last alive: with six exchanges
     /// a second each of 64 proxies is heard of about once a second.
-    static constexpr std::size_t passed_on = 6;
+    static constexpr std::size_t gossiped_peers = 6;
     /// Answers to older questions are too old to be of use.
-    static constexpr std::size_t remembered_questions = 16;
+    static constexpr std::size_t max_open_questions = 16;
     /// A report takes about 60 bytes a service.
-    static constexpr std::size_t largest_message_bytes = 8192;
+    static constexpr std::size_t max_message_bytes = 8192;
 
     asio::any_io_executor m_executor;
     control_settings m_settings;
@@ -240,12 +240,12 @@
     asio::ip::udp::socket m_socket;
     rpc::server m_rpc;
     routing::configuration m_config;
-    registry_keeper m_registry;
-    std::map<std::string, watch, std::less<>> m_watched;
+    registry_cache m_registry;
+    std::map<std::string, service_state, std::less<>> m_services;
     /// What the traffic side last saw of the services that it uses, by name. Far
     /// fewer than all services, and told in every message.
-    std::map<std::string, service_sight, std::less<>> m_sights;
-    std::map<std::uint64_t, asked> m_questions;
+    std::map<std::string, service_observation, std::less<>> m_observations;
+    std::map<std::uint64_t, sent_question> m_questions;
     std::uint64_t m_last_nonce{0};
     /// Tells the proxies of this deployment from those of others; 0 until it
     /// was read from the store.
@@ -254,10 +254,10 @@
     peer_traffic m_peer_traffic;
     std::function<Json::Value()> m_dump_traffic{[] { return Json::Value{}; }};
     /// By `cached_table`.
-    std::array<table_freshness, 2> m_followed;
+    std::array<table_freshness, 2> m_freshness;
     std::function<bool()> m_store_reachable{[] { return true; }};
     /// What the traffic side was last told of the configuration's age.
-    time_point m_proof_told{};
+    time_point m_published_confirmation{};
     time_point m_started{boot_clock::now()};
     time_point m_last_heartbeat{};
     time_point m_behind_since{};
--- a/src/cornellever/cluster/control.ipp
+++ b/src/cornellever/cluster/control.ipp
@@ -22,7 +22,7 @@
         return std::unexpected{bound.error()};
     }
     m_rpc.start();
-    share_budget();
+    publish_proxies();
     asio::co_spawn(m_executor, receive(), asio::detached);
     asio::co_spawn(m_executor, tick(), asio::detached);
     asio::co_spawn(m_executor, register_self(), asio::detached);
@@ -41,14 +41,14 @@
     for (const auto& [name, item] : m_members.peers()) {
         auto& peer = out["peers"][name];
         peer["alive"] = membership::is_alive(item, now);
-        peer["heard_ms"] = static_cast<Json::Int64>(to_ms(now - item.heard_at));
+        peer["heard_ms"] = static_cast<Json::Int64>(to_ms(now - item.last_message_at));
         peer["store_reachable"] = item.store_reachable;
         peer["config_version"] = static_cast<Json::UInt64>(item.config_version);
     }
-    for (const auto& [service, at] : m_watched) {
-        out["watched"][service]["primary"] = at.primary;
-        out["watched"][service]["verdict"] = std::string{to_string(at.verdict)};
-        out["watched"][service]["replacing"] = at.replacing;
+    for (const auto& [service, state] : m_services) {
+        out["watched"][service]["primary"] = state.primary;
+        out["watched"][service]["verdict"] = std::string{to_string(state.verdict)};
+        out["watched"][service]["replacing"] = state.replacing;
     }
     co_return out;
 }
@@ -59,7 +59,7 @@
         log_event(event::stored_config_older,
                   "version=" + std::to_string(m_config.version) + " stored=" + std::to_string(config.version));
     }
-    m_followed.at(place(cached_table::configuration)).note_stored(config.version);
+    m_freshness.at(index_of(cached_table::configuration)).note_store_version(config.version);
     apply(std::move(config));
 }
 
@@ -72,7 +72,7 @@
     m_config = config;
     m_bridge.update(std::move(config));
     for (const auto& [name, limits] : m_config.services) {
-        m_watched.try_emplace(name);
+        m_services.try_emplace(name);
     }
 }
 
@@ -106,40 +106,40 @@
 /// a line for each would be written by each.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::log_members(event what, const std::vector<std::string>& names,
-                                                    std::string_view more) {
-    constexpr std::size_t named = 8;
+                                                    std::string_view suffix) {
+    constexpr std::size_t max_names = 8;
     if (names.empty()) {
         return;
     }
     std::string text = "proxies=" + std::to_string(names.size()) + " names=";
-    for (std::size_t i = 0; i < std::min(names.size(), named); ++i) {
+    for (std::size_t i = 0; i < std::min(names.size(), max_names); ++i) {
         text += (i == 0 ? "" : ",") + names[i];
     }
-    log_event(what, text + std::string{more});
+    log_event(what, text + std::string{suffix});
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::tick() {
     for (;;) {
         co_await sleep_for(tick_period);
-        const auto seen = co_await m_bridge.sights();
+        const auto seen = co_await m_bridge.observations();
         for (const auto& item : seen) {
-            m_watched.try_emplace(item.service);
-            m_sights.insert_or_assign(item.service, item);
+            m_services.try_emplace(item.service);
+            m_observations.insert_or_assign(item.service, item);
         }
         const auto now = boot_clock::now();
         if (m_registry.expire(now)) {
             m_bridge.update(m_registry.effective());
         }
-        log_members(event::member_lost, m_members.forget_silent(now), " reason=silent");
+        log_members(event::member_lost, m_members.remove_unresponsive(now), " reason=silent");
         log_members(event::member_joined, std::exchange(m_joined, {}), "");
-        share_budget();
-        const bool often = suspicious() || lacks_proof(now);
-        if (now - m_last_heartbeat >= (often ? suspicious_period : heartbeat_period)) {
-            ask_peers();
+        publish_proxies();
+        const bool heartbeat_early = any_primary_suspect() || confirmation_overdue(now);
+        if (now - m_last_heartbeat >= (heartbeat_early ? suspect_heartbeat_period : heartbeat_period)) {
+            send_heartbeats();
         }
         if (!m_leaving) {
-            look_after_primaries();
+            check_primaries();
         }
     }
 }
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -30,7 +30,7 @@
                 registered = std::ranges::any_of(rows->rows, [&](const store_row& row) {
                     return row.key == m_settings.name && row.value == address;
                 });
-                co_await take_proxies(std::move(*rows));
+                co_await load_proxies(std::move(*rows));
                 in_table = registered;
                 continue;
             }
@@ -38,11 +38,11 @@
         co_await sleep_for(pause);
     }
     m_listed = true;
-    share_budget();
+    publish_proxies();
     if (added) {
-        greet_all();
+        send_greetings();
     }
-    ask_peers();
+    send_heartbeats();
 }
 
 /// Where the others reach this proxy.
@@ -55,9 +55,9 @@
 /// Writes this proxy's row once more, spread over the time in which all proxies
 /// do so: a proxy that starts later learns of the others from their rows.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-asio::awaitable<void> control<Store, Orders, Connector>::write_own_row_again() {
+asio::awaitable<void> control<Store, Orders, Connector>::rewrite_own_row() {
     std::uniform_int_distribution<long long> wait{0, rewrite_spread.count()};
-    for (int tries = 0; tries < most_rewrites && !m_leaving; ++tries) {
+    for (int tries = 0; tries < max_rewrites && !m_leaving; ++tries) {
         co_await sleep_for(std::chrono::milliseconds{wait(m_random)});
         const std::string table{proxies_table};
         const auto row = own_row();
@@ -70,7 +70,7 @@
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-asio::awaitable<void> control<Store, Orders, Connector>::take_proxies(store_rows listed) {
+asio::awaitable<void> control<Store, Orders, Connector>::load_proxies(store_rows listed) {
     for (const auto& row : listed.rows) {
         if (row.key == cluster_key) {
             m_cluster = cluster_id(row.value);
@@ -83,17 +83,17 @@
                       "row=" + std::to_string(row.version) + " reason=\"no address of a proxy\"");
             continue;
         }
-        m_members.learn(row.key, row.value.substr(blank + 1), {where.address(), where.port()}, boot_clock::now());
+        m_members.add_peer(row.key, row.value.substr(blank + 1), {where.address(), where.port()}, boot_clock::now());
     }
     if (m_cluster == 0) {
-        co_await name_cluster();
+        co_await create_cluster_id();
     }
 }
 
 /// The first proxy of a deployment gives it an id. Whose row it became is read
 /// back: another may have been faster, or the answer was lost.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-asio::awaitable<void> control<Store, Orders, Connector>::name_cluster() {
+asio::awaitable<void> control<Store, Orders, Connector>::create_cluster_id() {
     const std::string table{proxies_table};
     const std::string key{cluster_key};
     const auto mine = m_settings.name + "/" + std::to_string(m_settings.incarnation);
@@ -117,12 +117,12 @@
 /// 37,800 questions and as many answers, while callers come back. Those that
 /// were in the table before are known to all and greet nobody.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::greet_all() {
-    send(message_now(peer_message::kind::greeting), everybody());
+void control<Store, Orders, Connector>::send_greetings() {
+    send(build_message(peer_message::kind::greeting), all_peers());
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-std::vector<asio::ip::udp::endpoint> control<Store, Orders, Connector>::everybody() const {
+std::vector<asio::ip::udp::endpoint> control<Store, Orders, Connector>::all_peers() const {
     std::vector<asio::ip::udp::endpoint> out;
     for (const auto& [name, item] : m_members.peers()) {
         out.push_back(item.address);
@@ -132,12 +132,12 @@
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::farewell() {
-    send(message_now(peer_message::kind::farewell), everybody());
+    send(build_message(peer_message::kind::farewell), all_peers());
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::share_budget() {
-    if (!m_listed && boot_clock::now() - m_started < unknown_for) {
+void control<Store, Orders, Connector>::publish_proxies() {
+    if (!m_listed && boot_clock::now() - m_started < peer_list_timeout) {
         return;
     }
     std::vector<session::proxy_place> places{{m_settings.name, m_settings.data_center, m_settings.sessions}};
--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -5,12 +5,12 @@
 namespace cornellever::cluster {
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-peer_message control<Store, Orders, Connector>::message_now(peer_message::kind what) const {
+peer_message control<Store, Orders, Connector>::build_message(peer_message::kind what) const {
     const auto now = boot_clock::now();
     // Rounded up: what is proved by an age must not look younger than it is.
     const auto age = [now](time_point at) { return std::chrono::ceil<std::chrono::milliseconds>(now - at); };
     const auto age_of = [&](cached_table table) -> std::optional<std::chrono::milliseconds> {
-        const auto at = m_followed.at(place(table)).confirmed_current_at();
+        const auto at = m_freshness.at(index_of(table)).confirmed_current_at();
         return at == time_point{} ? std::nullopt : std::optional{age(at)};
     };
     peer_message out{.what = what,
@@ -23,19 +23,19 @@
                      .config_age = age_of(cached_table::configuration),
                      .registry_age = age_of(cached_table::servers),
                      .store_reachable = m_store_reachable()};
-    for (const auto& [name, seen] : m_sights) {
-        const auto& sight = seen.primary;
-        if (sight.id.empty()) {
+    for (const auto& [name, seen] : m_observations) {
+        const auto& observed = seen.primary;
+        if (observed.id.empty()) {
             continue;
         }
         primary_report report{.service = name,
-                              .primary = sight.id,
-                              .confirmed_age = age(sight.confirmed_at),
-                              .heard_age = age(sight.heard_at),
-                              .unreachable = sight.unreachable,
-                              .refused = sight.refused,
-                              .log_lost = sight.log_lost,
-                              .furthest = sight.furthest};
+                              .primary = observed.id,
+                              .leadership_confirmed_age = age(observed.confirmed_at),
+                              .last_answer_age = age(observed.heard_at),
+                              .unreachable = observed.unreachable,
+                              .refused = observed.refused,
+                              .log_lost = observed.log_lost,
+                              .furthest = observed.furthest};
         if (what == peer_message::kind::answer && seen.sample) {
             report.sample = aged_sample{age(seen.sample->asked_at), seen.sample->position};
         }
@@ -56,20 +56,20 @@
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::ask_peers() {
+void control<Store, Orders, Connector>::send_heartbeats() {
     std::set<std::string, std::less<>> used;
-    for (const auto& [service, seen] : m_sights) {
+    for (const auto& [service, seen] : m_observations) {
         used.insert(service);
     }
     // With many proxies each asks a few, so that the work of one does not grow
     // with their number.
-    auto peers =
-        m_members.to_ask(used, owners_of(used), m_settings.data_center, sampled_peers, boot_clock::now(), m_random);
-    if (peers.related.empty() && peers.others.empty()) {
-        peers.related = m_settings.seeds;
-        std::erase(peers.related, m_settings.heartbeats);
+    auto peers = m_members.select_targets(used, owners_of(used), m_settings.data_center, max_service_peers_asked,
+                                          boot_clock::now(), m_random);
+    if (peers.service_peers.empty() && peers.gossip_peers.empty()) {
+        peers.service_peers = m_settings.seeds;
+        std::erase(peers.service_peers, m_settings.heartbeats);
     }
-    ask(peers);
+    send_questions(peers);
 }
 
 /// A primary that others see is not lost, and they have to be asked from the
@@ -93,33 +93,33 @@
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::ask(const peers_to_ask& peers) {
+void control<Store, Orders, Connector>::send_questions(const heartbeat_targets& peers) {
     const auto now = boot_clock::now();
     m_last_heartbeat = now;
-    auto message = message_now(peer_message::kind::question);
+    auto message = build_message(peer_message::kind::question);
     message.nonce = ++m_last_nonce;
-    if (m_members.counted() > small_cluster_size) {
+    if (m_members.proxy_count() > small_cluster_size) {
         // Whoever shares a service asks as well, and hears it in the answer: the
         // same in the question would be paid for twice.
-        message.reports = false;
+        message.has_reports = false;
         message.primaries.clear();
     }
     m_questions[message.nonce] = {now};
-    while (m_questions.size() > remembered_questions) {
+    while (m_questions.size() > max_open_questions) {
         m_questions.erase(m_questions.begin());
     }
-    m_members.note_asked(peers.related, now);
-    m_members.note_asked(peers.others, now);
-    send(message, peers.related);
-    if (!peers.others.empty()) {
-        message.heard = m_members.some_alive(passed_on, now, m_random);
-        send(message, peers.others);
+    m_members.record_sent(peers.service_peers, now);
+    m_members.record_sent(peers.gossip_peers, now);
+    send(message, peers.service_peers);
+    if (!peers.gossip_peers.empty()) {
+        message.alive_peers = m_members.sample_alive(gossiped_peers, now, m_random);
+        send(message, peers.gossip_peers);
     }
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::receive() {
-    std::array<char, largest_message_bytes> buffer{};
+    std::array<char, max_message_bytes> buffer{};
     for (;;) {
         asio::ip::udp::endpoint from;
         boost::system::error_code ec;
@@ -138,8 +138,8 @@
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::handle(const peer_message& message, const asio::ip::udp::endpoint& from) {
-    const bool stray = message.cluster != m_cluster && message.cluster != 0 && m_cluster != 0;
-    if (message.sender == m_settings.name || stray) {
+    const bool foreign = message.cluster != m_cluster && message.cluster != 0 && m_cluster != 0;
+    if (message.sender == m_settings.name || foreign) {
         return;
     }
     const auto now = boot_clock::now();
@@ -148,7 +148,7 @@
         log_event(event::member_lost, "proxy=" + message.sender + " reason=left");
         return;
     }
-    auto counted_from = now;
+    auto ages_as_of = now;
     if (message.what == peer_message::kind::answer) {
         const auto question = m_questions.find(message.nonce);
         if (question == m_questions.end()) {
@@ -156,58 +156,58 @@
         }
         // An answer may have been under way for long; what it says was true
         // when the question was sent, or later.
-        counted_from = question->second.sent_at;
+        ages_as_of = question->second.sent_at;
     }
-    if (m_members.hear(message, from, now, counted_from)) {
+    if (m_members.record_message(message, from, now, ages_as_of)) {
         m_joined.push_back(message.sender);
     }
-    for (const auto& other : message.heard) {
-        m_members.hear_of(other, now);
+    for (const auto& other : message.alive_peers) {
+        m_members.record_alive(other, now);
     }
     if (message.what == peer_message::kind::question) {
-        auto answer = message_now(peer_message::kind::answer);
-        if (!message.heard.empty()) {
-            answer.heard = m_members.some_alive(passed_on, now, m_random);
+        auto answer = build_message(peer_message::kind::answer);
+        if (!message.alive_peers.empty()) {
+            answer.alive_peers = m_members.sample_alive(gossiped_peers, now, m_random);
         }
         answer.nonce = message.nonce;
         if (!m_leaving) {
             send(answer, std::span{&from, 1});
         }
     } else if (message.what == peer_message::kind::answer) {
-        take_reports(message, from, counted_from);
-        hear_of_tables(message, counted_from);
+        forward_reports(message, from, ages_as_of);
+        apply_table_ages(message, ages_as_of);
     }
     compare_versions(message, from, now);
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::take_reports(const peer_message& message, const asio::ip::udp::endpoint& from,
-                                                     time_point counted_from) {
+void control<Store, Orders, Connector>::forward_reports(const peer_message& message,
+                                                        const asio::ip::udp::endpoint& from, time_point ages_as_of) {
     const session::proxy_place peer{message.sender, message.data_center, {from.address(), m_settings.sessions.port()}};
-    std::vector<peer_sight> seen;
+    std::vector<peer_observation> seen;
     for (const auto& item : message.primaries) {
-        peer_sight sight{.service = item.service,
-                         .primary = item.unreachable ? std::string{} : item.primary,
-                         .confirmed_at = counted_from - item.confirmed_age,
-                         .peer = peer,
-                         .heard_at = counted_from - item.heard_age,
-                         .reported = item.primary,
-                         .furthest = item.furthest};
+        peer_observation observed{.service = item.service,
+                                  .primary = item.unreachable ? std::string{} : item.primary,
+                                  .confirmed_at = ages_as_of - item.leadership_confirmed_age,
+                                  .peer = peer,
+                                  .heard_at = ages_as_of - item.last_answer_age,
+                                  .reported = item.primary,
+                                  .furthest = item.furthest};
         if (item.sample) {
-            sight.sample = routing::freshness_sample{counted_from - item.sample->age, item.sample->position};
+            observed.sample = routing::freshness_sample{ages_as_of - item.sample->age, item.sample->position};
         }
-        seen.push_back(std::move(sight));
+        seen.push_back(std::move(observed));
     }
     if (!seen.empty()) {
-        m_bridge.take(std::move(seen));
+        m_bridge.update_observations(std::move(seen));
     }
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-bool control<Store, Orders, Connector>::suspicious() const {
-    return std::ranges::any_of(m_sights, [](const auto& item) {
-        const auto& sight = item.second.primary;
-        return sight.unreachable || sight.id.empty();
+bool control<Store, Orders, Connector>::any_primary_suspect() const {
+    return std::ranges::any_of(m_observations, [](const auto& item) {
+        const auto& observed = item.second.primary;
+        return observed.unreachable || observed.id.empty();
     });
 }
 
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -10,8 +10,8 @@
 /// itself for the only one. While the store answers nobody, all that are alive
 /// share the work of asking again.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-std::vector<std::string> control<Store, Orders, Connector>::sharing_the_watch(time_point now) const {
-    std::vector<std::string> able;
+std::vector<std::string> control<Store, Orders, Connector>::watch_candidates(time_point now) const {
+    std::vector<std::string> eligible;
     std::vector<std::string> alive;
     for (const auto& [name, item] : m_members.peers()) {
         if (!membership::is_presumed_alive(item, now)) {
@@ -19,54 +19,55 @@
         }
         alive.push_back(name);
         if (item.store_reachable) {
-            able.push_back(name);
+            eligible.push_back(name);
         }
     }
-    return able.empty() ? alive : able;
+    return eligible.empty() ? alive : eligible;
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 watch_mode control<Store, Orders, Connector>::watch_mode_of(cached_table what) const {
     constexpr std::array<std::string_view, 2> names{"configuration", "servers"};
-    const auto& plan = m_settings.watch.at(place(what));
-    const auto& news = m_followed.at(place(what));
+    const auto& policy = m_settings.watch.at(index_of(what));
+    const auto& freshness = m_freshness.at(index_of(what));
     const auto now = boot_clock::now();
-    const auto others = sharing_the_watch(now);
+    const auto others = watch_candidates(now);
     // Turned away by a store that answers others, it leaves the work to them.
-    const bool relies = !m_listed || (!m_store_reachable() && !others.empty() &&
-                                      std::ranges::any_of(others, [&](const std::string& name) {
-                                          return m_members.peers().find(name)->second.store_reachable;
-                                      }));
-    watch_mode out{.waits = false, .span = plan.max_confirmation_age};
-    if (!relies) {
-        out = watch_mode_for(plan, watch_rank(names.at(place(what)), m_settings.name, others), m_members.counted());
+    const bool relies_on_peers = !m_listed || (!m_store_reachable() && !others.empty() &&
+                                               std::ranges::any_of(others, [&](const std::string& name) {
+                                                   return m_members.peers().find(name)->second.store_reachable;
+                                               }));
+    watch_mode out{.polls_store = false, .confirm_within = policy.max_confirmation_age};
+    if (!relies_on_peers) {
+        out = watch_mode_for(policy, watch_rank(names.at(index_of(what)), m_settings.name, others),
+                             m_members.proxy_count());
     }
-    out.confirmed_current_at = news.confirmed_current_at();
-    out.behind = news.behind(version_of(what), now);
+    out.confirmed_current_at = freshness.confirmed_current_at();
+    out.behind = freshness.behind(version_of(what), now);
     return out;
 }
 
 /// Takes how current a peer's copies are. Only answers count: they were given
 /// after the question, however long they were under way.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::hear_of_tables(const peer_message& message, time_point counted_from) {
+void control<Store, Orders, Connector>::apply_table_ages(const peer_message& message, time_point ages_as_of) {
     const auto note_peer_version = [&](cached_table what, std::uint64_t version,
                                        const std::optional<std::chrono::milliseconds>& age) {
         if (age) {
-            m_followed.at(place(what))
-                .note_peer_version(version, version_of(what), counted_from - *age, boot_clock::now());
+            m_freshness.at(index_of(what))
+                .note_peer_version(version, version_of(what), ages_as_of - *age, boot_clock::now());
         }
     };
     note_peer_version(cached_table::configuration, message.config_version, message.config_age);
     note_peer_version(cached_table::servers, message.registry_version, message.registry_age);
-    tell_proof();
+    publish_confirmation();
 }
 
 /// Whether the lease on the configuration is about to end, or has: requests with
 /// a key are refused until somebody says that the copy is the newest.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-bool control<Store, Orders, Connector>::lacks_proof(time_point now) const {
-    const auto at = m_followed.at(place(cached_table::configuration)).confirmed_current_at();
+bool control<Store, Orders, Connector>::confirmation_overdue(time_point now) const {
+    const auto at = m_freshness.at(index_of(cached_table::configuration)).confirmed_current_at();
     return m_settings.confirmation_due && at != time_point{} && now - at > *m_settings.confirmation_due;
 }
 
@@ -74,10 +75,10 @@
 /// behind the configuration itself, so that a proof never counts for an older
 /// copy than the one it was given for.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::tell_proof() {
-    const auto at = m_followed.at(place(cached_table::configuration)).confirmed_current_at();
-    if (at > m_proof_told) {
-        m_proof_told = at;
+void control<Store, Orders, Connector>::publish_confirmation() {
+    const auto at = m_freshness.at(index_of(cached_table::configuration)).confirmed_current_at();
+    if (at > m_published_confirmation) {
+        m_published_confirmation = at;
         m_bridge.prove_configuration(at);
     }
 }
@@ -86,15 +87,15 @@
 /// another one what is new. The others get it from these: a configuration of
 /// many databases is 330 KB, and bytes between data centres are paid for.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-bool control<Store, Orders, Connector>::fetches_from_afar(time_point now) const {
+bool control<Store, Orders, Connector>::fetches_across_data_centers(time_point now) const {
     constexpr std::size_t fetching = 2;
-    std::vector<std::string> near;
+    std::vector<std::string> same_data_center;
     for (const auto& [name, item] : m_members.peers()) {
         if (item.data_center == m_settings.data_center && membership::is_presumed_alive(item, now)) {
-            near.push_back(name);
+            same_data_center.push_back(name);
         }
     }
-    return watch_rank(m_settings.data_center, m_settings.name, near) < fetching;
+    return watch_rank(m_settings.data_center, m_settings.name, same_data_center) < fetching;
 }
 
 /// Notices when a peer has a newer configuration or registry. The feed of the
@@ -112,14 +113,15 @@
         m_behind_since = now;
     }
     const bool config_behind = message.config_version > m_config.version;
-    auto lead = config_behind ? feed_lead : registry_lead;
+    auto head_start = config_behind ? feed_head_start : registry_head_start;
     if (!m_store_reachable()) {
-        lead = std::chrono::milliseconds{0};
-    } else if (!watch_mode_of(config_behind ? cached_table::configuration : cached_table::servers).waits) {
-        const bool near = message.data_center == m_settings.data_center;
-        lead = near || fetches_from_afar(now) ? std::chrono::milliseconds{0} : far_lead;
+        head_start = std::chrono::milliseconds{0};
+    } else if (!watch_mode_of(config_behind ? cached_table::configuration : cached_table::servers).polls_store) {
+        const bool same_data_center = message.data_center == m_settings.data_center;
+        head_start = same_data_center || fetches_across_data_centers(now) ? std::chrono::milliseconds{0}
+                                                                          : remote_fetch_head_start;
     }
-    if (!m_catching_up && now >= m_catch_up_after && now - m_behind_since >= lead) {
+    if (!m_catching_up && now >= m_catch_up_after && now - m_behind_since >= head_start) {
         m_catching_up = true;
         asio::co_spawn(m_executor, catch_up(message.sender, from.address()), asio::detached);
     }
@@ -130,7 +132,7 @@
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 result<Json::Value> control<Store, Orders, Connector>::snapshot_for(known_versions known, rpc::connection& to) {
     if (m_config.version > known.config) {
-        if (m_uploads >= most_uploads) {
+        if (m_uploads >= max_uploads) {
             return fail(errc::busy, "other proxies are being sent the configuration");
         }
         to.until_written = std::make_shared<scoped_count>(m_uploads);
@@ -153,7 +155,7 @@
     Json::Value params{Json::objectValue};
     params["config_version"] = static_cast<Json::UInt64>(m_config.version);
     params["registry_version"] = static_cast<Json::UInt64>(m_registry.registered().version);
-    auto answer = co_await link.call("snapshot", std::move(params), catch_up_limit, catch_up_limit);
+    auto answer = co_await link.call("snapshot", std::move(params), catch_up_timeout, catch_up_timeout);
     m_catching_up = false;
     if (!answer) {
         // The next message of any other that has it will do.
--- a/src/cornellever/cluster/counted_store.hpp
+++ b/src/cornellever/cluster/counted_store.hpp
@@ -59,42 +59,42 @@
     explicit counted_store(Store& store) : m_store{store} {}
 
     asio::awaitable<result<store_rows>> list(std::string table) {
-        const bool known = m_known[table];
-        add(table, known ? store_purpose::reading_again : store_purpose::first_reading);
+        const bool known = m_loaded[table];
+        count_call(table, known ? store_purpose::reading_again : store_purpose::first_reading);
         auto out = co_await m_store.list(table);
-        note(table, out.has_value());
-        m_known[table] = known || out.has_value();
+        record_outcome(table, out.has_value());
+        m_loaded[table] = known || out.has_value();
         co_return out;
     }
 
     asio::awaitable<result<store_rows>> changes(std::string table, std::uint64_t after,
                                                 std::chrono::milliseconds wait) {
-        add(table, store_purpose::waiting);
+        count_call(table, store_purpose::waiting);
         auto out = co_await m_store.changes(table, after, wait);
-        note(table, out.has_value() || out.error().code == errc::behind);
+        record_outcome(table, out.has_value() || out.error().code == errc::behind);
         co_return out;
     }
 
     asio::awaitable<result<store_row>> read(std::string table, std::string key) {
-        add(table, store_purpose::claim);
+        count_call(table, store_purpose::claim);
         co_return co_await m_store.read(std::move(table), std::move(key));
     }
 
     asio::awaitable<result<std::uint64_t>> write_if(std::string table, std::string key, std::string value,
                                                     std::uint64_t version) {
-        add(table, store_purpose::claim);
+        count_call(table, store_purpose::claim);
         co_return co_await m_store.write_if(std::move(table), std::move(key), std::move(value), version);
     }
 
     asio::awaitable<result<std::uint64_t>> write(std::string table, std::string key, std::string value) {
-        add(table, store_purpose::own_row);
+        count_call(table, store_purpose::own_row);
         auto out = co_await m_store.write(table, std::move(key), std::move(value));
-        note(table, out.has_value());
+        record_outcome(table, out.has_value());
         co_return out;
     }
 
     asio::awaitable<result<std::uint64_t>> remove(std::string table, std::string key) {
-        add(table, store_purpose::own_row);
+        count_call(table, store_purpose::own_row);
         co_return co_await m_store.remove(std::move(table), std::move(key));
     }
 
@@ -109,19 +109,19 @@
     }
 
 private:
-    void add(const std::string& table, store_purpose why) {
+    void count_call(const std::string& table, store_purpose why) {
         const std::scoped_lock lock{m_mutex};
         ++m_calls[{table, m_failed[table] ? store_purpose::retry : why}];
     }
 
-    void note(const std::string& table, bool answered) {
+    void record_outcome(const std::string& table, bool answered) {
         const std::scoped_lock lock{m_mutex};
         m_failed[table] = !answered;
     }
 
     Store& m_store;
     /// Tables that were read whole, and those whose last call failed.
-    std::map<std::string, bool, std::less<>> m_known;
+    std::map<std::string, bool, std::less<>> m_loaded;
     std::map<std::string, bool, std::less<>> m_failed;
     mutable std::mutex m_mutex;
     std::map<std::pair<std::string, store_purpose>, std::uint64_t> m_calls;
--- a/src/cornellever/cluster/membership.hpp
+++ b/src/cornellever/cluster/membership.hpp
@@ -23,9 +23,9 @@
     std::string data_center;
     std::uint64_t incarnation{0};
     /// Of its process before this one, whose late messages don't count.
-    std::uint64_t earlier_incarnation{0};
+    std::uint64_t previous_incarnation{0};
     /// When it last answered or asked; the epoch when never.
-    boot_clock::time_point heard_at{};
+    boot_clock::time_point last_message_at{};
     /// When it was last alive, by its own message or by another proxy's word.
     boot_clock::time_point alive_at{};
     /// When a message was first awaited from it.
@@ -41,10 +41,10 @@
 };
 
 /// Whom a proxy asks at a time.
-struct peers_to_ask {
-    std::vector<asio::ip::udp::endpoint> related;
+struct heartbeat_targets {
+    std::vector<asio::ip::udp::endpoint> service_peers;
     /// With these it also exchanges the word on others.
-    std::vector<asio::ip::udp::endpoint> others;
+    std::vector<asio::ip::udp::endpoint> gossip_peers;
 };
 
 /// The other proxies by name. A proxy is known from its row in the store, or
@@ -55,39 +55,39 @@
 
     /// A heartbeat at least every half second: two may be lost. Where each asks
     /// only some, another's word takes the place of the heartbeat.
-    static constexpr std::chrono::milliseconds alive_for{1600};
+    static constexpr std::chrono::milliseconds alive_timeout{1600};
     /// A proxy that was killed is back, or replaced, by then; its connections
     /// are left to it until then.
-    static constexpr std::chrono::milliseconds counted_for{8000};
+    static constexpr std::chrono::milliseconds removal_timeout{8000};
     /// Nobody's word of it for so long: it is asked itself, well before it
     /// would be dropped.
-    static constexpr std::chrono::milliseconds doubted_after{4000};
+    static constexpr std::chrono::milliseconds suspect_after{4000};
     /// An answer takes milliseconds; the question or it may be lost, and the
     /// next one is half a second later.
-    static constexpr std::chrono::milliseconds answers_within{1000};
+    static constexpr std::chrono::milliseconds answer_timeout{1000};
     /// Doubted proxies that are asked at a time. With more, the word of others
     /// reaches each only later, and none is dropped for that.
-    static constexpr std::size_t doubted_at_once = 8;
+    static constexpr std::size_t max_suspects_asked = 8;
 
     explicit membership(std::string self) : m_self{std::move(self)} {}
 
     /// A proxy that may be up at `address`. A name that moved to another
     /// address is taken there.
-    void learn(const std::string& name, const std::string& data_center, const asio::ip::udp::endpoint& address,
-               time_point now);
+    void add_peer(const std::string& name, const std::string& data_center, const asio::ip::udp::endpoint& address,
+                  time_point now);
 
-    /// A message of a proxy, whose ages count from `counted_from`. Returns
+    /// A message of a proxy, whose ages count from `ages_as_of`. Returns
     /// true when this process of it was not known before.
-    bool hear(const peer_message& message, const asio::ip::udp::endpoint& from, time_point now,
-              time_point counted_from);
+    bool record_message(const peer_message& message, const asio::ip::udp::endpoint& from, time_point now,
+                        time_point ages_as_of);
 
     /// Another proxy heard of it so long ago. One that is not known yet has no
     /// address, and is learned of elsewhere.
-    void hear_of(const heard_peer& other, time_point now);
+    void record_alive(const peer_liveness& other, time_point now);
 
     /// Up to `count` proxies that were alive lately, for a message.
     template <typename Random>
-    [[nodiscard]] std::vector<heard_peer> some_alive(std::size_t count, time_point now, Random& random) const {
+    [[nodiscard]] std::vector<peer_liveness> sample_alive(std::size_t count, time_point now, Random& random) const {
         using known = std::pair<const std::string, peer>;
         std::vector<const known*> alive;
         for (const auto& item : m_peers) {
@@ -97,7 +97,7 @@
         }
         std::vector<const known*> chosen;
         std::ranges::sample(alive, std::back_inserter(chosen), static_cast<std::ptrdiff_t>(count), random);
-        std::vector<heard_peer> out;
+        std::vector<peer_liveness> out;
         for (const auto* item : chosen) {
             out.push_back(
                 {item->first, std::chrono::duration_cast<std::chrono::milliseconds>(now - item->second.alive_at)});
@@ -112,63 +112,63 @@
     /// others with: the one that was silent for longest and others of which no
     /// word came lately, one of the same data centre, and one more.
     template <typename Random>
-    [[nodiscard]] peers_to_ask to_ask(const std::set<std::string, std::less<>>& services,
-                                      const std::set<std::string, std::less<>>& owners, std::string_view data_center,
-                                      std::size_t most, time_point now, Random& random) const {
-        peers_to_ask out;
+    [[nodiscard]] heartbeat_targets
+    select_targets(const std::set<std::string, std::less<>>& services, const std::set<std::string, std::less<>>& owners,
+                   std::string_view data_center, std::size_t max_peers, time_point now, Random& random) const {
+        heartbeat_targets out;
         std::vector<const peer*> rest;
         for (const auto& [name, item] : m_peers) {
             const bool shares = owners.contains(name) || std::ranges::any_of(item.primaries, [&](const auto& report) {
                                     return services.contains(report.service);
                                 });
-            if (shares || m_peers.size() <= most) {
-                out.related.push_back(item.address);
+            if (shares || m_peers.size() <= max_peers) {
+                out.service_peers.push_back(item.address);
             } else {
                 rest.push_back(&item);
             }
         }
-        std::ranges::shuffle(out.related, random);
+        std::ranges::shuffle(out.service_peers, random);
         std::ranges::shuffle(rest, random);
-        out.related.resize(std::min(out.related.size(), most));
+        out.service_peers.resize(std::min(out.service_peers.size(), max_peers));
         const auto take = [&](auto found) {
             if (found != rest.end()) {
-                out.others.push_back((*found)->address);
+                out.gossip_peers.push_back((*found)->address);
                 rest.erase(found);
             }
         };
         take(std::ranges::min_element(rest, {}, &peer::alive_at));
         take(std::ranges::find(rest, data_center, &peer::data_center));
         take(rest.begin());
-        for (std::size_t i = 0; i < doubted_at_once; ++i) {
-            take(std::ranges::find_if(rest, [now](const auto* item) { return is_doubted(*item, now); }));
+        for (std::size_t i = 0; i < max_suspects_asked; ++i) {
+            take(std::ranges::find_if(rest, [now](const auto* item) { return is_suspect(*item, now); }));
         }
         return out;
     }
 
     /// Questions were sent to these addresses.
-    void note_asked(std::span<const asio::ip::udp::endpoint> addresses, time_point now);
+    void record_sent(std::span<const asio::ip::udp::endpoint> addresses, time_point now);
 
     /// The proxy leaves by plan.
     void leave(const std::string& name);
 
-    /// Drops proxies of which no word came for `counted_for` and that did not
+    /// Drops proxies of which no word came for `removal_timeout` and that did not
     /// answer this one either; returns their names. Silence alone is no
     /// evidence: with 195 proxies each hears of another every few seconds on
     /// average, and on a day without any fault they dropped each other 300 times
     /// a second and shared out connections anew each time.
-    std::vector<std::string> forget_silent(time_point now);
+    std::vector<std::string> remove_unresponsive(time_point now);
 
     [[nodiscard]] const std::map<std::string, peer, std::less<>>& peers() const noexcept { return m_peers; }
 
     /// Names of the proxies that are alive and reach the store, in order; this
     /// one is among them whether it reaches the store or not.
-    [[nodiscard]] std::vector<std::string> able(time_point now) const;
+    [[nodiscard]] std::vector<std::string> eligible(time_point now) const;
 
     /// Proxies whose connections count, this one among them.
-    [[nodiscard]] std::size_t counted() const noexcept { return m_peers.size() + 1; }
+    [[nodiscard]] std::size_t proxy_count() const noexcept { return m_peers.size() + 1; }
 
     [[nodiscard]] static bool is_alive(const peer& item, time_point now) {
-        return item.alive_at != time_point{} && now - item.alive_at < alive_for;
+        return item.alive_at != time_point{} && now - item.alive_at < alive_timeout;
     }
 
     /// Whether a proxy may be taken to work although there was no word of it in
@@ -176,22 +176,22 @@
     /// heard of.
     [[nodiscard]] static bool is_presumed_alive(const peer& item, time_point now) {
         if (item.alive_at == time_point{}) {
-            return now - item.known_since < alive_for;
+            return now - item.known_since < alive_timeout;
         }
-        return is_alive(item, now) || (!failed_to_answer(item, now) && now - item.alive_at < counted_for);
+        return is_alive(item, now) || (!failed_to_answer(item, now) && now - item.alive_at < removal_timeout);
     }
 
 private:
     /// Whether a proxy is to be asked since no word of it came; two or three
     /// times, and then no more: many may be behind a cut path.
-    [[nodiscard]] static bool is_doubted(const peer& item, time_point now) {
-        constexpr std::chrono::milliseconds asked_for{1500};
-        return now - item.alive_at > doubted_after &&
-               (item.unanswered_since == time_point{} || now - item.unanswered_since < asked_for);
+    [[nodiscard]] static bool is_suspect(const peer& item, time_point now) {
+        constexpr std::chrono::milliseconds asking_period{1500};
+        return now - item.alive_at > suspect_after &&
+               (item.unanswered_since == time_point{} || now - item.unanswered_since < asking_period);
     }
 
     [[nodiscard]] static bool failed_to_answer(const peer& item, time_point now) {
-        return item.unanswered_since != time_point{} && now - item.unanswered_since > answers_within;
+        return item.unanswered_since != time_point{} && now - item.unanswered_since > answer_timeout;
     }
 
     std::string m_self;
--- a/src/cornellever/cluster/peer_message.cpp
+++ b/src/cornellever/cluster/peer_message.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view magic = "cl4";
 
 /// Stands before the list of other proxies; no service has this name.
-constexpr std::string_view others_mark = "/";
+constexpr std::string_view alive_peers_mark = "/";
 
 /// Stands in place of the reports where the message has none.
 constexpr std::string_view no_reports = "~";
@@ -57,11 +57,11 @@
 
 /// Words of a datagram, each read once; `good` turns false at the first that
 /// is missing or not what it should be.
-class word_reader {
+class field_reader {
 public:
-    explicit word_reader(std::string_view rest) : m_rest{rest} {}
+    explicit field_reader(std::string_view rest) : m_rest{rest} {}
 
-    std::string_view word() {
+    std::string_view field() {
         const auto blank = m_rest.find(' ');
         const auto out = m_rest.substr(0, blank);
         m_rest = blank == std::string_view::npos ? std::string_view{} : m_rest.substr(blank + 1);
@@ -73,7 +73,7 @@
     [[nodiscard]] std::string_view next() const { return m_rest.substr(0, m_rest.find(' ')); }
 
     std::uint64_t number() {
-        const auto text = word();
+        const auto text = field();
         std::uint64_t out = 0;
         const auto* const end = text.data() + text.size();
         const auto got = std::from_chars(text.data(), end, out);
@@ -93,7 +93,7 @@
         if (next() != no_age) {
             return age();
         }
-        (void)word();
+        (void)field();
         return std::nullopt;
     }
 
@@ -105,46 +105,46 @@
     bool m_good{true};
 };
 
-sql::log_position read_position(word_reader& words) {
+sql::log_position read_position(field_reader& fields) {
     sql::log_position out;
-    out.term = words.number();
-    out.number = words.number();
+    out.term = fields.number();
+    out.number = fields.number();
     return out;
 }
 
-primary_report read_report(word_reader& words) {
+primary_report read_report(field_reader& fields) {
     primary_report out;
-    out.service = words.word();
-    out.primary = words.word();
+    out.service = fields.field();
+    out.primary = fields.field();
     if (out.primary == "-") {
         out.primary.clear();
     }
-    out.confirmed_age = words.age();
-    out.heard_age = words.age();
-    const auto flags = words.word();
+    out.leadership_confirmed_age = fields.age();
+    out.last_answer_age = fields.age();
+    const auto flags = fields.field();
     out.unreachable = flags.find('u') != std::string_view::npos;
     out.refused = flags.find('r') != std::string_view::npos;
     out.log_lost = flags.find('l') != std::string_view::npos;
     if (flags.find('s') != std::string_view::npos) {
         aged_sample sample;
-        sample.age = words.age();
-        sample.position = read_position(words);
+        sample.age = fields.age();
+        sample.position = read_position(fields);
         out.sample = sample;
     }
     if (flags.find(furthest_given) != std::string_view::npos) {
-        out.furthest = read_position(words);
+        out.furthest = read_position(fields);
     } else if (out.sample && flags.find(furthest_as_sample) != std::string_view::npos) {
         out.furthest = out.sample->position;
     }
     return out;
 }
 
-/// Appends words to a datagram.
-class word_writer {
+/// Appends fields to a datagram.
+class field_writer {
 public:
-    explicit word_writer(std::string_view first) : m_text{first} {}
+    explicit field_writer(std::string_view first) : m_text{first} {}
 
-    void word(std::string_view text) {
+    void field(std::string_view text) {
         m_text += ' ';
         m_text += text;
     }
@@ -152,7 +152,7 @@
     void number(std::integral auto value) {
         std::array<char, std::numeric_limits<decltype(value)>::digits10 + 2> digits{};
         const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), value).ptr;
-        word({digits.data(), end});
+        field({digits.data(), end});
     }
 
     [[nodiscard]] std::string text() && { return std::move(m_text); }
@@ -161,24 +161,24 @@
     std::string m_text;
 };
 
-void write_age(word_writer& out, const std::optional<std::chrono::milliseconds>& age) {
+void write_age(field_writer& out, const std::optional<std::chrono::milliseconds>& age) {
     if (age) {
         out.number(age->count());
     } else {
-        out.word(no_age);
+        out.field(no_age);
     }
 }
 
-void write_position(word_writer& out, const sql::log_position& at) {
+void write_position(field_writer& out, const sql::log_position& at) {
     out.number(at.term);
     out.number(at.number);
 }
 
-void write_report(word_writer& out, const primary_report& item) {
-    out.word(item.service);
-    out.word(item.primary.empty() ? "-" : item.primary);
-    out.number(item.confirmed_age.count());
-    out.number(item.heard_age.count());
+void write_report(field_writer& out, const primary_report& item) {
+    out.field(item.service);
+    out.field(item.primary.empty() ? "-" : item.primary);
+    out.number(item.leadership_confirmed_age.count());
+    out.number(item.last_answer_age.count());
     const bool as_sample = item.furthest && item.sample && item.sample->position == *item.furthest;
     std::string flags{"."};
     flags += item.unreachable ? "u" : "";
@@ -188,7 +188,7 @@
     if (item.furthest) {
         flags += as_sample ? furthest_as_sample : furthest_given;
     }
-    out.word(flags);
+    out.field(flags);
     if (item.sample) {
         out.number(item.sample->age.count());
         write_position(out, item.sample->position);
@@ -202,70 +202,70 @@
 
 std::string encode(const peer_message& message) {
     const char letter = letter_of(message.what);
-    word_writer out{magic};
-    out.word(std::string_view{&letter, 1});
+    field_writer out{magic};
+    out.field(std::string_view{&letter, 1});
     out.number(message.nonce);
     out.number(message.cluster);
-    out.word(message.sender);
-    out.word(message.data_center);
+    out.field(message.sender);
+    out.field(message.data_center);
     out.number(message.incarnation);
     out.number(message.config_version);
     out.number(message.registry_version);
     write_age(out, message.config_age);
     write_age(out, message.registry_age);
     out.number(message.store_reachable ? 1 : 0);
-    if (!message.reports) {
-        out.word(no_reports);
+    if (!message.has_reports) {
+        out.field(no_reports);
     }
     for (const auto& item : message.primaries) {
         write_report(out, item);
     }
-    if (!message.heard.empty()) {
-        out.word(others_mark);
+    if (!message.alive_peers.empty()) {
+        out.field(alive_peers_mark);
     }
-    for (const auto& item : message.heard) {
-        out.word(item.name);
+    for (const auto& item : message.alive_peers) {
+        out.field(item.name);
         out.number(item.age.count());
     }
     return std::move(out).text();
 }
 
 std::optional<peer_message> decode(std::string_view bytes) {
-    word_reader words{bytes};
-    if (words.word() != magic) {
+    field_reader fields{bytes};
+    if (fields.field() != magic) {
         return std::nullopt;
     }
-    const auto what = kind_of(words.word());
+    const auto what = kind_of(fields.field());
     if (!what) {
         return std::nullopt;
     }
     peer_message out;
     out.what = *what;
-    out.nonce = words.number();
-    out.cluster = words.number();
-    out.sender = words.word();
-    out.data_center = words.word();
-    out.incarnation = words.number();
-    out.config_version = words.number();
-    out.registry_version = words.number();
-    out.config_age = words.optional_age();
-    out.registry_age = words.optional_age();
-    out.store_reachable = words.number() != 0;
-    if (words.good() && words.next() == no_reports) {
-        out.reports = false;
-        (void)words.word();
+    out.nonce = fields.number();
+    out.cluster = fields.number();
+    out.sender = fields.field();
+    out.data_center = fields.field();
+    out.incarnation = fields.number();
+    out.config_version = fields.number();
+    out.registry_version = fields.number();
+    out.config_age = fields.optional_age();
+    out.registry_age = fields.optional_age();
+    out.store_reachable = fields.number() != 0;
+    if (fields.good() && fields.next() == no_reports) {
+        out.has_reports = false;
+        (void)fields.field();
     }
-    while (words.good() && !words.done() && words.next() != others_mark) {
-        out.primaries.push_back(read_report(words));
+    while (fields.good() && !fields.done() && fields.next() != alive_peers_mark) {
+        out.primaries.push_back(read_report(fields));
     }
-    if (words.good() && !words.done()) {
-        (void)words.word();
+    if (fields.good() && !fields.done()) {
+        (void)fields.field();
         do {
-            const auto name = words.word();
-            out.heard.push_back({std::string{name}, words.age()});
-        } while (words.good() && !words.done());
+            const auto name = fields.field();
+            out.alive_peers.push_back({std::string{name}, fields.age()});
+        } while (fields.good() && !fields.done());
     }
-    if (!words.good()) {
+    if (!fields.good()) {
         return std::nullopt;
     }
     return out;
--- a/src/cornellever/cluster/peer_message.hpp
+++ b/src/cornellever/cluster/peer_message.hpp
@@ -23,8 +23,8 @@
     std::string service;
     std::string primary;
     /// Since the server last proved its lead, and since it last answered.
-    std::chrono::milliseconds confirmed_age{0};
-    std::chrono::milliseconds heard_age{0};
+    std::chrono::milliseconds leadership_confirmed_age{0};
+    std::chrono::milliseconds last_answer_age{0};
     /// Nobody answered at its address since; `refused` when its VM did, saying
     /// that no process listens.
     bool unreachable{false};
@@ -38,7 +38,7 @@
 };
 
 /// Another proxy that the sender heard of, and how long ago it was alive.
-struct heard_peer {
+struct peer_liveness {
     std::string name;
     std::chrono::milliseconds age{0};
 };
@@ -68,10 +68,10 @@
     bool store_reachable{true};
     /// Whether the message tells what the sender saw of primaries; it may have
     /// seen none.
-    bool reports{true};
+    bool has_reports{true};
     std::vector<primary_report> primaries{};
     /// A few others: with many proxies, each pair talks only now and then.
-    std::vector<heard_peer> heard{};
+    std::vector<peer_liveness> alive_peers{};
 };
 
 /// One datagram. Fields are separated by blanks: a heartbeat is sent to every
--- a/src/cornellever/cluster/peer_traffic.hpp
+++ b/src/cornellever/cluster/peer_traffic.hpp
@@ -52,14 +52,14 @@
         std::atomic<std::uint64_t> bytes{0};
     };
 
-    [[nodiscard]] static std::size_t place(peer_message::kind what, bool same_data_center) {
+    [[nodiscard]] static std::size_t index_of(peer_message::kind what, bool same_data_center) {
         return 2 * static_cast<std::size_t>(what) + (same_data_center ? 1 : 0);
     }
     [[nodiscard]] counter& of(peer_message::kind what, bool same_data_center) {
-        return m_counters.at(place(what, same_data_center));
+        return m_counters.at(index_of(what, same_data_center));
     }
     [[nodiscard]] const counter& of(peer_message::kind what, bool same_data_center) const {
-        return m_counters.at(place(what, same_data_center));
+        return m_counters.at(index_of(what, same_data_center));
     }
 
     std::array<counter, 2 * kinds.size()> m_counters;
--- a/src/cornellever/cluster/primary_judge.cpp
+++ b/src/cornellever/cluster/primary_judge.cpp
@@ -10,39 +10,40 @@
 
 /// A refusal is the VM's own word that no process listens. It is waited on
 /// for a moment only, because a connection's end may come before it.
-constexpr milliseconds refused_for{150};
+constexpr milliseconds refused_timeout{150};
 
 /// Silence may also be a lost packet, which TCP repeats after 200 ms, or a
 /// pause of this proxy's own VM.
-constexpr milliseconds silent_for{500};
+constexpr milliseconds silence_timeout{500};
 
 /// A peer that heard the primary within this sees it now: proxies ask an
 /// otherwise idle primary five times a second.
-constexpr milliseconds seen_lately{450};
+constexpr milliseconds recent_answer{450};
 
 /// A proxy without any live peer can't tell whether it is itself cut off, and
 /// waits for others, who would see the same, to go first.
-constexpr milliseconds alone_for{2500};
+constexpr milliseconds isolated_timeout{2500};
 
 /// Three heartbeats of a server are missed before its entry goes; after the
 /// store's own outage entries are back within 2 s.
-constexpr milliseconds missing_and_unheard{300};
-constexpr milliseconds missing_for_good{2600};
+constexpr milliseconds missing_and_unreachable{300};
+constexpr milliseconds missing_limit{2600};
 
 bool down(const primary_view& view) {
-    return view.unreachable && view.heard_age >= (view.refused ? refused_for : silent_for);
+    return view.unreachable && view.last_answer_age >= (view.refused ? refused_timeout : silence_timeout);
 }
 
-bool sees_it(const primary_view& view) {
-    return !view.unreachable && view.heard_age < seen_lately;
+bool reaches_primary(const primary_view& view) {
+    return !view.unreachable && view.last_answer_age < recent_answer;
 }
 
 primary_verdict judge_missing(const primary_evidence& evidence, milliseconds missing) {
-    const bool heard = (evidence.own && sees_it(*evidence.own)) || std::ranges::any_of(evidence.peers, sees_it);
-    if (missing >= missing_for_good) {
-        return heard ? primary_verdict::leaving : primary_verdict::lost;
+    const bool reachable =
+        (evidence.own && reaches_primary(*evidence.own)) || std::ranges::any_of(evidence.peers, reaches_primary);
+    if (missing >= missing_limit) {
+        return reachable ? primary_verdict::leaving : primary_verdict::lost;
     }
-    if (missing >= missing_and_unheard && !heard && evidence.own && evidence.own->unreachable) {
+    if (missing >= missing_and_unreachable && !reachable && evidence.own && evidence.own->unreachable) {
         return primary_verdict::lost;
     }
     return primary_verdict::fine;
@@ -61,15 +62,15 @@
         return primary_verdict::lost;
     }
     if (evidence.own && down(*evidence.own)) {
-        if (std::ranges::any_of(evidence.peers, sees_it)) {
+        if (std::ranges::any_of(evidence.peers, reaches_primary)) {
             return primary_verdict::fine;
         }
         if (evidence.peers.empty() && evidence.known_peers > 0) {
-            return evidence.own->heard_age >= alone_for ? primary_verdict::lost : primary_verdict::fine;
+            return evidence.own->last_answer_age >= isolated_timeout ? primary_verdict::lost : primary_verdict::fine;
         }
         const auto agreeing = static_cast<std::size_t>(std::ranges::count_if(evidence.peers, down)) + 1;
-        const auto voices = evidence.peers.size() + 1;
-        if (2 * agreeing > voices) {
+        const auto voters = evidence.peers.size() + 1;
+        if (2 * agreeing > voters) {
             return primary_verdict::lost;
         }
         return primary_verdict::fine;
--- a/src/cornellever/cluster/primary_judge.hpp
+++ b/src/cornellever/cluster/primary_judge.hpp
@@ -11,7 +11,7 @@
 /// What one proxy sees of a primary at present.
 struct primary_view {
     /// Since it last answered.
-    std::chrono::milliseconds heard_age{0};
+    std::chrono::milliseconds last_answer_age{0};
     /// Nobody answered at its address since then.
     bool unreachable{false};
     /// Its VM said that no process listens.
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -28,13 +28,13 @@
 
 /// The servers of a service, as a promotion needs them.
 template <typename T>
-concept promotion_servers = requires(T servers, std::string text, std::chrono::milliseconds limit) {
+concept promotion_servers = requires(T servers, std::string text, std::chrono::milliseconds timeout) {
     /// A report of each registered server but the second argument's.
-    { servers.survey(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
-    /// Whether a server answers as the primary within `limit`.
-    { servers.leads_now(text, text, limit) } -> std::same_as<asio::awaitable<bool>>;
-    /// Whether a server leads, waiting up to `limit` for it.
-    { servers.await_lead(text, text, limit) } -> std::same_as<asio::awaitable<bool>>;
+    { servers.query_replicas(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
+    /// Whether a server answers as the primary within `timeout`.
+    { servers.leads_now(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
+    /// Whether a server leads, waiting up to `timeout` for it.
+    { servers.await_leadership(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
 };
 
 /// How a promotion ended.
@@ -69,18 +69,18 @@
     /// which has been judged lost or leaving for `judged_for`.
     asio::awaitable<promotion_outcome> run(std::string service, std::string old, primary_verdict why,
                                            boot_clock::time_point::duration judged_for = {}) {
-        attempt now{.service = std::move(service), .old = std::move(old), .why = why, .judged_for = judged_for};
+        attempt current{.service = std::move(service), .old = std::move(old), .why = why, .judged_for = judged_for};
         std::string state = m_steps.start();
         std::string event;
         while (!m_steps.action(state).empty()) {
-            event = co_await act(m_steps.action(state), now);
-            log_event(event::promotion_step, "service=" + now.service + " state=" + state + " event=" + event +
-                                                 " old=" + now.old + " successor=" + now.successor +
-                                                 " token=" + std::to_string(now.token));
+            event = co_await act(m_steps.action(state), current);
+            log_event(event::promotion_step, "service=" + current.service + " state=" + state + " event=" + event +
+                                                 " old=" + current.old + " successor=" + current.successor +
+                                                 " token=" + std::to_string(current.token));
             auto next = m_steps.next(state, event);
             state = next ? *next : std::string{"given_up"};
         }
-        co_return promotion_outcome{state, event, now.successor};
+        co_return promotion_outcome{state, event, current.successor};
     }
 
 private:
@@ -96,70 +96,71 @@
 
     /// A promotion takes about 1.2 s from the order to the lead; in that time
     /// nobody else begins one for the same primary.
-    static constexpr std::chrono::milliseconds turn_lasts{2600};
-    static constexpr std::chrono::milliseconds lead_wait{1400};
+    static constexpr std::chrono::milliseconds claim_lease{2600};
+    static constexpr std::chrono::milliseconds leadership_timeout{1400};
     /// How long a server that may hold the only log is waited for: longer than
     /// most take to start again. Callers are refused meanwhile.
-    static constexpr std::chrono::milliseconds log_wait{5000};
+    static constexpr std::chrono::milliseconds missing_log_wait{5000};
     /// A new connection (12 to 30 ms) and a question that takes no slot; a
     /// primary that went dark costs this much of the gap (1.2 to 2.0 s).
-    static constexpr std::chrono::milliseconds look_limit{100};
+    static constexpr std::chrono::milliseconds recheck_timeout{100};
     /// An unanswered order may be carried out up to 12 s later; others get
     /// their turn long before.
     static constexpr int max_orders = 3;
 
-    asio::awaitable<std::string> act(std::string_view action, attempt& now) {
-        if (action == "survey_replicas") {
-            co_return co_await survey(now);
+    asio::awaitable<std::string> act(std::string_view action, attempt& current) {
+        if (action == "query_replicas") {
+            co_return co_await query_replicas(current);
         }
-        if (action == "claim_turn") {
-            co_return co_await claim(now);
+        if (action == "write_claim") {
+            co_return co_await claim(current);
         }
-        if (action == "look_again") {
-            co_return co_await look_again(now);
+        if (action == "recheck_primary") {
+            co_return co_await recheck(current);
         }
         if (action == "order_promotion") {
-            co_return co_await order(now);
+            co_return co_await order(current);
         }
-        if (action == "await_lead") {
-            co_return co_await settle(now);
+        if (action == "await_leadership") {
+            co_return co_await await_leadership(current);
         }
         co_return "unknown_action";
     }
 
-    asio::awaitable<std::string> survey(attempt& now) {
-        const auto reports = co_await m_servers.survey(now.service, now.old);
-        const auto leading = std::ranges::find_if(reports, [](const auto& item) { return item.leads; });
+    asio::awaitable<std::string> query_replicas(attempt& current) {
+        const auto reports = co_await m_servers.query_replicas(current.service, current.old);
+        const auto leading = std::ranges::find_if(reports, [](const auto& item) { return item.is_primary; });
         if (leading != reports.end() && !lacks_entries_of(*leading, reports)) {
-            now.successor = leading->id;
+            current.successor = leading->id;
             co_return "leads_already";
         }
-        const auto chosen = choose_successor(reports, now.why);
+        const auto chosen = choose_successor(reports, current.why);
         if (!chosen) {
             const bool any = std::ranges::any_of(reports, &replica_report::answered);
             co_return any ? "all_leave" : "none_answered";
         }
-        if (may_hold_only_log(reports) && now.judged_for < log_wait) {
+        if (may_hold_only_log(reports) && current.judged_for < missing_log_wait) {
             co_return "none_answered";
         }
-        now.successor = chosen->id;
+        current.successor = chosen->id;
         co_return "chosen";
     }
 
-    asio::awaitable<std::string> claim(attempt& now) {
-        auto row = co_await m_store.read(std::string{claims_table}, now.service);
+    asio::awaitable<std::string> claim(attempt& current) {
+        auto row = co_await m_store.read(std::string{claims_table}, current.service);
         if (!row) {
             co_return "store_unreachable";
         }
         const auto before = decode_claim(row->value);
-        if (before && before->replaces == now.old && before->holder != m_claimant &&
-            row->store_time - before->at < turn_lasts) {
+        if (before && before->replaces == current.old && before->holder != m_claimant &&
+            row->store_time - before->at < claim_lease) {
             co_return "held_by_other";
         }
-        const promotion_claim mine{m_claimant, now.old, now.successor, ++m_claims, row->store_time};
-        auto written = co_await m_store.write_if(std::string{claims_table}, now.service, encode(mine), row->version);
+        const promotion_claim mine{m_claimant, current.old, current.successor, ++m_claims, row->store_time};
+        auto written =
+            co_await m_store.write_if(std::string{claims_table}, current.service, encode(mine), row->version);
         if (written) {
-            now.token = *written;
+            current.token = *written;
             co_return "claimed";
         }
         if (written.error().code == errc::conflict) {
@@ -167,13 +168,13 @@
         }
         // The answer was lost, perhaps after the row was written; the row
         // tells, since no other claim has this holder and number.
-        auto after = co_await m_store.read(std::string{claims_table}, now.service);
+        auto after = co_await m_store.read(std::string{claims_table}, current.service);
         if (!after) {
             co_return "store_unreachable";
         }
         const auto found = decode_claim(after->value);
         if (found && found->holder == m_claimant && found->number == mine.number) {
-            now.token = after->version;
+            current.token = after->version;
             co_return "claimed";
         }
         co_return "held_by_other";
@@ -183,17 +184,17 @@
     /// the evidence against it is from before the claim, which may have taken
     /// as long as the store could not be reached. Ordered all the same, the
     /// promotion would roll back what others wrote at the primary meanwhile.
-    asio::awaitable<std::string> look_again(attempt& now) {
-        if (now.why != primary_verdict::lost || now.old.empty()) {
+    asio::awaitable<std::string> recheck(attempt& current) {
+        if (current.why != primary_verdict::lost || current.old.empty()) {
             co_return "gone";
         }
-        const bool leads = co_await m_servers.leads_now(now.service, now.old, look_limit);
+        const bool leads = co_await m_servers.leads_now(current.service, current.old, recheck_timeout);
         co_return leads ? "leads_still" : "gone";
     }
 
-    asio::awaitable<std::string> order(attempt& now) {
-        ++now.orders;
-        auto done = co_await m_orders.promote(now.service, now.successor, m_holder, now.token);
+    asio::awaitable<std::string> order(attempt& current) {
+        ++current.orders;
+        auto done = co_await m_orders.promote(current.service, current.successor, m_holder, current.token);
         if (done) {
             co_return "accepted";
         }
@@ -203,16 +204,16 @@
         co_return "unanswered";
     }
 
-    asio::awaitable<std::string> settle(attempt& now) {
-        const bool leads = co_await m_servers.await_lead(now.service, now.successor, lead_wait);
+    asio::awaitable<std::string> await_leadership(attempt& current) {
+        const bool leads = co_await m_servers.await_leadership(current.service, current.successor, leadership_timeout);
         if (leads) {
             co_return "leads";
         }
-        if (now.orders >= max_orders) {
+        if (current.orders >= max_orders) {
             co_return "too_late";
         }
-        auto row = co_await m_store.read(std::string{claims_table}, now.service);
-        if (row && row->version != now.token) {
+        auto row = co_await m_store.read(std::string{claims_table}, current.service);
+        if (row && row->version != current.token) {
             co_return "superseded";
         }
         co_return "not_yet";
--- a/src/cornellever/cluster/promotion_claim.cpp
+++ b/src/cornellever/cluster/promotion_claim.cpp
@@ -7,17 +7,17 @@
 namespace {
 
 /// Stands for an empty word.
-constexpr std::string_view nobody = "-";
+constexpr std::string_view empty_field = "-";
 
-std::string_view word_of(const std::string& text) {
-    return text.empty() ? nobody : std::string_view{text};
+std::string_view field_of(const std::string& text) {
+    return text.empty() ? empty_field : std::string_view{text};
 }
 
 } // namespace
 
 std::string encode(const promotion_claim& claim) {
     std::ostringstream out;
-    out << claim.holder << ' ' << word_of(claim.replaces) << ' ' << word_of(claim.successor) << ' ' << claim.number
+    out << claim.holder << ' ' << field_of(claim.replaces) << ' ' << field_of(claim.successor) << ' ' << claim.number
         << ' ' << claim.at.count();
     return std::move(out).str();
 }
@@ -29,7 +29,7 @@
     if (!(in >> out.holder >> out.replaces >> out.successor >> out.number >> at_ms)) {
         return std::nullopt;
     }
-    if (out.replaces == nobody) {
+    if (out.replaces == empty_field) {
         out.replaces.clear();
     }
     out.at = std::chrono::milliseconds{at_ms};
--- a/src/cornellever/cluster/registry_cache.cpp
+++ b/src/cornellever/cluster/registry_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace cornellever::cluster {
 
-void registry_keeper::apply(const routing::registry& registered, time_point now) {
+void registry_cache::apply(const routing::registry& registered, time_point now) {
     m_registered = registered;
     auto next = registered;
     for (const auto& [id, server] : m_effective.servers) {
@@ -26,10 +26,10 @@
     }
 }
 
-bool registry_keeper::expire(time_point now) {
+bool registry_cache::expire(time_point now) {
     std::vector<std::string> late;
     for (const auto& [id, since] : m_missing_since) {
-        if (now - since > kept_for) {
+        if (now - since > grace_period) {
             late.push_back(id);
         }
     }
@@ -42,7 +42,7 @@
     return !late.empty();
 }
 
-std::optional<std::chrono::milliseconds> registry_keeper::missing_for(const std::string& id, time_point now) const {
+std::optional<std::chrono::milliseconds> registry_cache::missing_for(const std::string& id, time_point now) const {
     const auto found = m_missing_since.find(id);
     if (found == m_missing_since.end()) {
         return std::nullopt;
--- a/src/cornellever/cluster/registry_cache.hpp
+++ b/src/cornellever/cluster/registry_cache.hpp
@@ -15,13 +15,13 @@
 /// has gone just now. An entry also goes when its server, alive and serving,
 /// can't reach the store for a while; dropping it at once would stop all
 /// writes although nothing is wrong with the server.
-class registry_keeper {
+class registry_cache {
 public:
     using time_point = boot_clock::time_point;
 
-    registry_keeper() = default;
-    registry_keeper(const registry_keeper&) = delete;
-    registry_keeper& operator=(const registry_keeper&) = delete;
+    registry_cache() = default;
+    registry_cache(const registry_cache&) = delete;
+    registry_cache& operator=(const registry_cache&) = delete;
 
     /// Takes the registered servers as they are now.
     void apply(const routing::registry& registered, time_point now);
@@ -53,7 +53,7 @@
     /// Entries are back about 2 s after the store is; a server gets nothing
     /// new 7 s after its entry went (the operators' drain time), with room for
     /// what is under way.
-    static constexpr std::chrono::milliseconds kept_for{4500};
+    static constexpr std::chrono::milliseconds grace_period{4500};
 
     routing::registry m_registered;
     routing::registry m_effective;
--- a/src/cornellever/cluster/store_watch.hpp
+++ b/src/cornellever/cluster/store_watch.hpp
@@ -16,10 +16,10 @@
 struct watch_mode {
     /// Whether it waits for changes at the store. Otherwise it learns of them
     /// from its peers, and asks by itself where they leave it without word.
-    bool waits{true};
+    bool polls_store{true};
     /// How long one question for changes waits. For a proxy that relies on its
     /// peers: how old their word may be that its copy of the table is current.
-    std::chrono::milliseconds span{0};
+    std::chrono::milliseconds confirm_within{0};
     /// The moment of which peers said so; the epoch when none did.
     boot_clock::time_point confirmed_current_at{};
     /// A peer holds a newer version than this proxy.
@@ -51,25 +51,25 @@
 /// The place of `self` among the proxies that reach the store, other for each
 /// table, so that not always the same ones do the work.
 [[nodiscard]] inline std::size_t watch_rank(std::string_view table, std::string_view self,
-                                            std::span<const std::string> able) {
+                                            std::span<const std::string> eligible) {
     const auto mine = stable_hash({table, "/", self});
-    return static_cast<std::size_t>(std::ranges::count_if(able, [&](const auto& name) {
+    return static_cast<std::size_t>(std::ranges::count_if(eligible, [&](const auto& name) {
         return stable_hash({table, "/", name}) < mine;
     }));
 }
 
 /// The pace of the proxy of this rank among so many.
-[[nodiscard]] constexpr watch_mode watch_mode_for(const watch_policy& plan, std::size_t rank, std::size_t proxies) {
+[[nodiscard]] constexpr watch_mode watch_mode_for(const watch_policy& policy, std::size_t rank, std::size_t proxies) {
     if (rank == 0) {
-        return {.waits = true, .span = plan.first};
+        return {.polls_store = true, .confirm_within = policy.first};
     }
     if (proxies <= small_cluster_size) {
-        return {.waits = true, .span = plan.small_cluster};
+        return {.polls_store = true, .confirm_within = policy.small_cluster};
     }
-    if (rank >= plan.max_readers) {
-        return {.waits = false, .span = plan.max_confirmation_age};
+    if (rank >= policy.max_readers) {
+        return {.polls_store = false, .confirm_within = policy.max_confirmation_age};
     }
-    return {.waits = true, .span = plan.large_cluster};
+    return {.polls_store = true, .confirm_within = policy.large_cluster};
 }
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/successor.cpp
+++ b/src/cornellever/cluster/successor.cpp
@@ -34,8 +34,8 @@
     return std::ranges::none_of(replicas, holds_entries) && std::ranges::any_of(replicas, silent);
 }
 
-bool lacks_entries_of(const replica_report& leading, std::span<const replica_report> others) {
-    return !holds_entries(leading) && std::ranges::any_of(others, holds_entries);
+bool lacks_entries_of(const replica_report& primary, std::span<const replica_report> others) {
+    return !holds_entries(primary) && std::ranges::any_of(others, holds_entries);
 }
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/successor.hpp
+++ b/src/cornellever/cluster/successor.hpp
@@ -16,7 +16,7 @@
     sql::log_position received;
     bool draining{false};
     /// It leads already: somebody else's promotion took effect.
-    bool leads{false};
+    bool is_primary{false};
     /// Nothing else is known of one that did not answer in time.
     bool answered{true};
 };
@@ -34,6 +34,6 @@
 
 /// Whether a server leads with an empty log while another one holds entries: it
 /// started again with nothing.
-[[nodiscard]] bool lacks_entries_of(const replica_report& leading, std::span<const replica_report> others);
+[[nodiscard]] bool lacks_entries_of(const replica_report& primary, std::span<const replica_report> others);
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/table_freshness.hpp
+++ b/src/cornellever/cluster/table_freshness.hpp
@@ -21,45 +21,45 @@
 
     void mark_current(time_point at) { m_current_at = std::max(m_current_at, at); }
 
-    /// A peer holds `theirs`, which was current at `at`, where this proxy holds
-    /// `mine`. An older copy says nothing of this one.
-    void note_peer_version(std::uint64_t theirs, std::uint64_t mine, time_point at, time_point now) {
-        if (theirs > m_newest) {
-            m_newest = theirs;
-            m_newest_heard_at = now;
+    /// A peer holds `peer_version`, which was current at `at`, where this proxy holds
+    /// `own_version`. An older copy says nothing of this one.
+    void note_peer_version(std::uint64_t peer_version, std::uint64_t own_version, time_point at, time_point now) {
+        if (peer_version > m_newest_at_peers) {
+            m_newest_at_peers = peer_version;
+            m_newest_seen_at = now;
         }
-        if (theirs == mine) {
+        if (peer_version == own_version) {
             mark_current(at);
         }
     }
 
     /// The store shows `version`. It may be older than the copy at hand: the store
     /// has returned from an older copy of its own.
-    void note_stored(std::uint64_t version) noexcept { m_stored = version; }
+    void note_store_version(std::uint64_t version) noexcept { m_store_version = version; }
 
-    /// Whether the store's word that nothing changed says that `mine` is the
+    /// Whether the store's word that nothing changed says that `own_version` is the
     /// newest. It does not where the store lost it, and with it perhaps a newer one.
-    [[nodiscard]] bool store_vouches_for(std::uint64_t mine) const noexcept {
-        return m_newest <= mine && m_stored >= mine;
+    [[nodiscard]] bool store_confirms(std::uint64_t own_version) const noexcept {
+        return m_newest_at_peers <= own_version && m_store_version >= own_version;
     }
 
     [[nodiscard]] time_point confirmed_current_at() const noexcept { return m_current_at; }
 
     /// Whether a peer has had a newer version for so long that it should be here
     /// by now.
-    [[nodiscard]] bool behind(std::uint64_t mine, time_point now) const noexcept {
-        return m_newest > mine && now - m_newest_heard_at >= passed_on_within;
+    [[nodiscard]] bool behind(std::uint64_t own_version, time_point now) const noexcept {
+        return m_newest_at_peers > own_version && now - m_newest_seen_at >= propagation_time;
     }
 
 private:
     /// A peer of the same data centre is asked at once, one of another after
     /// 1.2 s; the answer takes milliseconds, on a busy VM a good part of a second.
-    static constexpr std::chrono::milliseconds passed_on_within{1800};
+    static constexpr std::chrono::milliseconds propagation_time{1800};
 
     time_point m_current_at{};
-    std::uint64_t m_newest{0};
-    std::uint64_t m_stored{0};
-    time_point m_newest_heard_at{};
+    std::uint64_t m_newest_at_peers{0};
+    std::uint64_t m_store_version{0};
+    time_point m_newest_seen_at{};
 };
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -18,14 +18,14 @@
 namespace cornellever::cluster {
 
 /// What the traffic side sees of one service.
-struct service_sight {
+struct service_observation {
     std::string service;
     routing::primary_sight primary;
     std::optional<routing::freshness_sample> sample;
 };
 
 /// What a peer saw of one service's primary, in this proxy's own time.
-struct peer_sight {
+struct peer_observation {
     std::string service;
     /// Empty when the peer does not reach it.
     std::string primary;
@@ -65,41 +65,43 @@
         });
     }
 
-    void take(std::vector<peer_sight> seen) {
+    void update_observations(std::vector<peer_observation> seen) {
         asio::post(m_executor, [this, seen = std::move(seen)] {
             for (const auto& item : seen) {
-                take_one(item);
+                apply_observation(item);
             }
         });
     }
 
-    asio::awaitable<std::vector<service_sight>> sights() {
-        return asio::co_spawn(m_executor, collect(), asio::use_awaitable);
+    asio::awaitable<std::vector<service_observation>> observations() {
+        return asio::co_spawn(m_executor, collect_observations(), asio::use_awaitable);
     }
 
-    /// Runs `tell` on the traffic thread.
-    asio::awaitable<Json::Value> describe(std::function<Json::Value()> tell) {
-        return asio::co_spawn(m_executor, run(std::move(tell)), asio::use_awaitable);
+    /// Runs `produce` on the traffic thread.
+    asio::awaitable<Json::Value> describe(std::function<Json::Value()> produce) {
+        return asio::co_spawn(m_executor, run(std::move(produce)), asio::use_awaitable);
     }
 
-    asio::awaitable<std::vector<replica_report>> survey(std::string service, std::string old) {
-        return asio::co_spawn(m_executor, ask_all(std::move(service), std::move(old)), asio::use_awaitable);
+    asio::awaitable<std::vector<replica_report>> query_replicas(std::string service, std::string old) {
+        return asio::co_spawn(m_executor, query_all(std::move(service), std::move(old)), asio::use_awaitable);
     }
 
-    asio::awaitable<bool> await_lead(std::string service, std::string id, std::chrono::milliseconds limit) {
-        return asio::co_spawn(m_executor, wait_for(std::move(service), std::move(id), limit), asio::use_awaitable);
+    asio::awaitable<bool> await_leadership(std::string service, std::string id, std::chrono::milliseconds timeout) {
+        return asio::co_spawn(m_executor, poll_for_leadership(std::move(service), std::move(id), timeout),
+                              asio::use_awaitable);
     }
 
-    asio::awaitable<bool> leads_now(std::string service, std::string id, std::chrono::milliseconds limit) {
-        return asio::co_spawn(m_executor, ask_lead(std::move(service), std::move(id), limit), asio::use_awaitable);
+    asio::awaitable<bool> leads_now(std::string service, std::string id, std::chrono::milliseconds timeout) {
+        return asio::co_spawn(m_executor, confirm_primary(std::move(service), std::move(id), timeout),
+                              asio::use_awaitable);
     }
 
 private:
     using pool = typename traffic::pool;
 
     /// Answers to a survey, filled in by one coroutine a server.
-    struct survey_state {
-        explicit survey_state(const asio::any_io_executor& executor) : done{executor} {}
+    struct query_state {
+        explicit query_state(const asio::any_io_executor& executor) : done{executor} {}
 
         std::vector<replica_report> reports;
         std::size_t pending{0};
@@ -108,12 +110,12 @@
 
     /// A server that answers at all does so in a few round trips, unless its
     /// two slots are taken by long statements.
-    static constexpr std::chrono::milliseconds survey_limit{450};
+    static constexpr std::chrono::milliseconds query_timeout{450};
     static constexpr std::chrono::milliseconds probe_period{50};
 
-    static asio::awaitable<Json::Value> run(std::function<Json::Value()> tell) { co_return tell(); }
+    static asio::awaitable<Json::Value> run(std::function<Json::Value()> produce) { co_return produce(); }
 
-    void take_one(const peer_sight& seen) {
+    void apply_observation(const peer_observation& seen) {
         if (!seen.primary.empty()) {
             m_host.note_path(seen.service, seen.peer, seen.heard_at);
         }
@@ -132,8 +134,8 @@
         }
     }
 
-    asio::awaitable<std::vector<service_sight>> collect() {
-        std::vector<service_sight> out;
+    asio::awaitable<std::vector<service_observation>> collect_observations() {
+        std::vector<service_observation> out;
         for (const auto& [name, backends] : m_host.pools()) {
             // What was not used has not been looked at.
             if (!backends->used()) {
@@ -146,15 +148,15 @@
         co_return out;
     }
 
-    asio::awaitable<void> ask_one(pool& backends, std::string id, bool draining, std::shared_ptr<survey_state> into) {
-        auto answer = co_await backends.ask(id, sql::own(sql::statement_kind::status), survey_limit);
+    asio::awaitable<void> query_one(pool& backends, std::string id, bool draining, std::shared_ptr<query_state> into) {
+        auto answer = co_await backends.ask(id, sql::own(sql::statement_kind::status), query_timeout);
         replica_report report{.id = id, .received = {}, .draining = draining, .answered = answer.has_value()};
         if (answer) {
             if (const auto status = Connector::status_of(*answer)) {
                 report.received = status->received;
-                report.leads = status->leads;
+                report.is_primary = status->leads;
             } else if (answer->position) {
-                // Too busy to tell; what it has applied it has received.
+                // Too busy to produce; what it has applied it has received.
                 report.received = *answer->position;
             }
         }
@@ -164,10 +166,10 @@
         }
     }
 
-    asio::awaitable<std::vector<replica_report>> ask_all(std::string service, std::string old) {
+    asio::awaitable<std::vector<replica_report>> query_all(std::string service, std::string old) {
         auto& backends = m_host.pool_for(service);
-        auto state = std::make_shared<survey_state>(m_executor);
-        state->done.expires_after(survey_limit);
+        auto state = std::make_shared<query_state>(m_executor);
+        state->done.expires_after(query_timeout);
         std::vector<std::pair<std::string, bool>> servers;
         for (const auto& [id, at] : backends.entries()) {
             if (id != old) {
@@ -176,7 +178,7 @@
         }
         state->pending = servers.size();
         for (const auto& [id, draining] : servers) {
-            asio::co_spawn(m_executor, ask_one(backends, id, draining, state), asio::detached);
+            asio::co_spawn(m_executor, query_one(backends, id, draining, state), asio::detached);
         }
         if (!servers.empty()) {
             boost::system::error_code ignored;
@@ -191,17 +193,17 @@
         co_return reports;
     }
 
-    asio::awaitable<bool> ask_lead(std::string service, std::string id, std::chrono::milliseconds limit) {
-        co_return co_await m_host.pool_for(service).leads_now(std::move(id), limit);
+    asio::awaitable<bool> confirm_primary(std::string service, std::string id, std::chrono::milliseconds timeout) {
+        co_return co_await m_host.pool_for(service).leads_now(std::move(id), timeout);
     }
 
-    asio::awaitable<bool> wait_for(std::string service, std::string id, std::chrono::milliseconds limit) {
+    asio::awaitable<bool> poll_for_leadership(std::string service, std::string id, std::chrono::milliseconds timeout) {
         auto& backends = m_host.pool_for(service);
         const auto begun = boot_clock::now();
-        while (boot_clock::now() - begun < limit) {
+        while (boot_clock::now() - begun < timeout) {
             co_await backends.probe(id);
-            const auto sight = backends.sight();
-            if (sight.id == id && sight.confirmed_at >= begun) {
+            const auto observed = backends.sight();
+            if (observed.id == id && observed.confirmed_at >= begun) {
                 co_return true;
             }
             co_await sleep_for(probe_period);
--- a/tests/unit/cluster.cpp
+++ b/tests/unit/cluster.cpp
@@ -141,8 +141,8 @@
                                   .store_reachable = false};
     message.primaries.push_back({.service = "stock",
                                  .primary = "p",
-                                 .confirmed_age = 12ms,
-                                 .heard_age = 3ms,
+                                 .leadership_confirmed_age = 12ms,
+                                 .last_answer_age = 3ms,
                                  .unreachable = true,
                                  .refused = true,
                                  .sample = cluster::aged_sample{8ms, {2, 66}}});
@@ -156,7 +156,7 @@
                                  .primary = "r",
                                  .sample = cluster::aged_sample{8ms, {2, 66}},
                                  .furthest = sql::log_position{2, 66}});
-    message.heard.push_back({"proxy-2", 40ms});
+    message.alive_peers.push_back({"proxy-2", 40ms});
     const auto back = cluster::decode(cluster::encode(message));
     BOOST_TEST_REQUIRE(back.has_value());
     BOOST_TEST(back->sender == "proxy-1");
@@ -173,9 +173,9 @@
     BOOST_TEST((back->primaries[0].sample->position == sql::log_position{2, 66}));
     BOOST_TEST(back->primaries[1].primary.empty());
     BOOST_TEST(back->cluster == 77U);
-    BOOST_TEST_REQUIRE(back->heard.size() == 1U);
-    BOOST_TEST(back->heard[0].name == "proxy-2");
-    BOOST_TEST((back->heard[0].age == 40ms));
+    BOOST_TEST_REQUIRE(back->alive_peers.size() == 1U);
+    BOOST_TEST(back->alive_peers[0].name == "proxy-2");
+    BOOST_TEST((back->alive_peers[0].age == 40ms));
 }
 
 // A primary is judged lost by proxies that hear it: a question without reports
@@ -186,12 +186,12 @@
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
     peer_message answer{.what = peer_message::kind::answer, .sender = "a", .incarnation = 1};
     answer.primaries.push_back({.service = "stock", .primary = "p"});
-    members.hear(answer, where, start, start);
-    peer_message question{.sender = "a", .incarnation = 1, .reports = false};
+    members.record_message(answer, where, start, start);
+    peer_message question{.sender = "a", .incarnation = 1, .has_reports = false};
     const auto back = decode(encode(question));
     BOOST_TEST_REQUIRE(back.has_value());
-    BOOST_TEST(!back->reports);
-    members.hear(*back, where, start + 1s, start + 1s);
+    BOOST_TEST(!back->has_reports);
+    members.record_message(*back, where, start + 1s, start + 1s);
     BOOST_TEST(members.peers().at("a").primaries.size() == 1U);
 }
 
@@ -211,21 +211,21 @@
     using namespace cornellever::cluster;
     membership members{"b"};
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
-    members.learn("a", "here", where, start);
-    BOOST_TEST(members.counted() == 2U);
-    BOOST_TEST(members.able(start).size() == 1U);
+    members.add_peer("a", "here", where, start);
+    BOOST_TEST(members.proxy_count() == 2U);
+    BOOST_TEST(members.eligible(start).size() == 1U);
     peer_message message{.sender = "a", .incarnation = 1};
-    BOOST_TEST(members.hear(message, where, start, start));
-    BOOST_TEST(!members.hear(message, where, start + 100ms, start));
-    BOOST_TEST((members.able(start + 200ms) == std::vector<std::string>{"a", "b"}));
+    BOOST_TEST(members.record_message(message, where, start, start));
+    BOOST_TEST(!members.record_message(message, where, start + 100ms, start));
+    BOOST_TEST((members.eligible(start + 200ms) == std::vector<std::string>{"a", "b"}));
     // One that the store does not answer can't take its turn at a promotion.
     message.store_reachable = false;
-    members.hear(message, where, start + 300ms, start);
-    BOOST_TEST(members.able(start + 400ms).size() == 1U);
-    members.note_asked({{where}}, start + 1s);
-    BOOST_TEST(members.forget_silent(start + 5s).empty());
-    BOOST_TEST(members.forget_silent(start + 10s).size() == 1U);
-    BOOST_TEST(members.counted() == 1U);
+    members.record_message(message, where, start + 300ms, start);
+    BOOST_TEST(members.eligible(start + 400ms).size() == 1U);
+    members.record_sent({{where}}, start + 1s);
+    BOOST_TEST(members.remove_unresponsive(start + 5s).empty());
+    BOOST_TEST(members.remove_unresponsive(start + 10s).size() == 1U);
+    BOOST_TEST(members.proxy_count() == 1U);
 }
 
 // Half of the proxies are taken for dead and come back all the time although
@@ -235,15 +235,15 @@
     using namespace cornellever::cluster;
     membership members{"b"};
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
-    members.learn("a", "here", where, start);
-    members.hear_of({"a", 300ms}, start + 5s);
-    members.hear_of({"nobody", 0ms}, start + 5s);
-    BOOST_TEST((members.able(start + 6s) == std::vector<std::string>{"a", "b"}));
-    BOOST_TEST(members.able(start + 7s).size() == 1U);
-    members.note_asked({{where}}, start + 6s);
-    BOOST_TEST(members.forget_silent(start + 12s).empty());
-    BOOST_TEST(members.forget_silent(start + 13s).size() == 1U);
-    BOOST_TEST(members.counted() == 1U);
+    members.add_peer("a", "here", where, start);
+    members.record_alive({"a", 300ms}, start + 5s);
+    members.record_alive({"nobody", 0ms}, start + 5s);
+    BOOST_TEST((members.eligible(start + 6s) == std::vector<std::string>{"a", "b"}));
+    BOOST_TEST(members.eligible(start + 7s).size() == 1U);
+    members.record_sent({{where}}, start + 6s);
+    BOOST_TEST(members.remove_unresponsive(start + 12s).empty());
+    BOOST_TEST(members.remove_unresponsive(start + 13s).size() == 1U);
+    BOOST_TEST(members.proxy_count() == 1U);
 }
 
 // Callers' sessions move from owner to owner on a day without any fault: with
@@ -253,16 +253,16 @@
     using namespace cornellever::cluster;
     membership members{"self"};
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
-    members.hear({.sender = "a", .incarnation = 1}, where, start, start);
-    BOOST_TEST(members.forget_silent(start + 20s).empty());
+    members.record_message({.sender = "a", .incarnation = 1}, where, start, start);
+    BOOST_TEST(members.remove_unresponsive(start + 20s).empty());
     BOOST_TEST(membership::is_presumed_alive(members.peers().at("a"), start + 5s));
-    members.note_asked({{where}}, start + 20s);
-    BOOST_TEST(members.forget_silent(start + 20s + 500ms).empty());
-    members.hear({.sender = "a", .incarnation = 1}, where, start + 20s + 600ms, start + 20s);
-    BOOST_TEST(members.forget_silent(start + 30s).empty());
-    members.note_asked({{where}}, start + 30s);
+    members.record_sent({{where}}, start + 20s);
+    BOOST_TEST(members.remove_unresponsive(start + 20s + 500ms).empty());
+    members.record_message({.sender = "a", .incarnation = 1}, where, start + 20s + 600ms, start + 20s);
+    BOOST_TEST(members.remove_unresponsive(start + 30s).empty());
+    members.record_sent({{where}}, start + 30s);
     BOOST_TEST(!membership::is_presumed_alive(members.peers().at("a"), start + 31s + 1ms));
-    BOOST_TEST(members.forget_silent(start + 31s + 1ms).size() == 1U);
+    BOOST_TEST(members.remove_unresponsive(start + 31s + 1ms).size() == 1U);
 }
 
 // As above: whoever was not heard of for 4 s is asked, a few at a time.
@@ -271,14 +271,14 @@
     membership members{"self"};
     std::minstd_rand random{7};
     for (int i = 0; i < 100; ++i) {
-        members.hear({.sender = "p" + std::to_string(i), .incarnation = 1},
-                     {asio::ip::make_address("10.0.0.1"), static_cast<std::uint16_t>(7000 + i)},
-                     start + (i < 5 ? 0s : 4s), start);
+        members.record_message({.sender = "p" + std::to_string(i), .incarnation = 1},
+                               {asio::ip::make_address("10.0.0.1"), static_cast<std::uint16_t>(7000 + i)},
+                               start + (i < 5 ? 0s : 4s), start);
     }
-    const auto asked = members.to_ask({}, {}, "here", 12, start + 4s + 500ms, random);
-    BOOST_TEST(std::ranges::count_if(asked.others, [](const auto& item) { return item.port() < 7005; }) == 5);
-    const auto all = members.to_ask({}, {}, "here", 12, start + 9s, random);
-    BOOST_TEST(all.others.size() == 2U + membership::doubted_at_once);
+    const auto asked = members.select_targets({}, {}, "here", 12, start + 4s + 500ms, random);
+    BOOST_TEST(std::ranges::count_if(asked.gossip_peers, [](const auto& item) { return item.port() < 7005; }) == 5);
+    const auto all = members.select_targets({}, {}, "here", 12, start + 9s, random);
+    BOOST_TEST(all.gossip_peers.size() == 2U + membership::max_suspects_asked);
 }
 
 // A promotion is judged by what a process said that has been replaced since:
@@ -289,9 +289,9 @@
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
     peer_message old{.sender = "a", .incarnation = 1};
     old.primaries.push_back({.service = "stock", .primary = "p"});
-    BOOST_TEST(members.hear(old, where, start, start));
-    BOOST_TEST(members.hear({.sender = "a", .incarnation = 2}, where, start + 1s, start + 1s));
-    BOOST_TEST(!members.hear(old, where, start + 2s, start + 2s));
+    BOOST_TEST(members.record_message(old, where, start, start));
+    BOOST_TEST(members.record_message({.sender = "a", .incarnation = 2}, where, start + 1s, start + 1s));
+    BOOST_TEST(!members.record_message(old, where, start + 2s, start + 2s));
     BOOST_TEST(members.peers().at("a").incarnation == 2U);
     BOOST_TEST(members.peers().at("a").primaries.empty());
 }
@@ -304,27 +304,28 @@
         peer_message message{.sender = "p" + std::to_string(i), .incarnation = 1};
         message.primaries.push_back({.service = i < 4 ? "stock" : "other", .primary = "p"});
         message.data_center = i == 30 ? "here" : "there";
-        members.hear(message, {asio::ip::make_address("10.0.0.1"), static_cast<std::uint16_t>(7000 + i)}, start, start);
+        members.record_message(message, {asio::ip::make_address("10.0.0.1"), static_cast<std::uint16_t>(7000 + i)},
+                               start, start);
     }
     const asio::ip::udp::endpoint near{asio::ip::make_address("10.0.0.1"), 7030};
     const asio::ip::udp::endpoint silent{asio::ip::make_address("10.0.0.1"), 7020};
     for (int i = 0; i < 40; ++i) {
         if (i != 20) {
-            members.hear_of({"p" + std::to_string(i), 0ms}, start + 500ms);
+            members.record_alive({"p" + std::to_string(i), 0ms}, start + 500ms);
         }
     }
-    const auto asked = members.to_ask({"stock"}, {}, "here", 12, start + 500ms, random);
-    BOOST_TEST(std::ranges::count(asked.others, silent) == 1);
-    BOOST_TEST(asked.related.size() == 4U);
-    BOOST_TEST(std::ranges::all_of(asked.related, [](const auto& item) { return item.port() < 7004; }));
-    BOOST_TEST(asked.others.size() == 3U);
-    BOOST_TEST(std::ranges::count(asked.others, near) == 1);
+    const auto asked = members.select_targets({"stock"}, {}, "here", 12, start + 500ms, random);
+    BOOST_TEST(std::ranges::count(asked.gossip_peers, silent) == 1);
+    BOOST_TEST(asked.service_peers.size() == 4U);
+    BOOST_TEST(std::ranges::all_of(asked.service_peers, [](const auto& item) { return item.port() < 7004; }));
+    BOOST_TEST(asked.gossip_peers.size() == 3U);
+    BOOST_TEST(std::ranges::count(asked.gossip_peers, near) == 1);
     // Few enough to ask all of them: none has to speak for another.
-    const auto all = members.to_ask({"stock"}, {}, "here", 40, start + 500ms, random);
-    BOOST_TEST(all.related.size() == 40U);
-    BOOST_TEST(all.others.empty());
-    BOOST_TEST(members.some_alive(6, start + 1s, random).size() == 6U);
-    BOOST_TEST(members.some_alive(6, start + 4s, random).empty());
+    const auto all = members.select_targets({"stock"}, {}, "here", 40, start + 500ms, random);
+    BOOST_TEST(all.service_peers.size() == 40U);
+    BOOST_TEST(all.gossip_peers.empty());
+    BOOST_TEST(members.sample_alive(6, start + 1s, random).size() == 6U);
+    BOOST_TEST(members.sample_alive(6, start + 4s, random).empty());
 }
 
 // Reads miss what was written seconds before: a partition left the primary
@@ -336,12 +337,12 @@
     membership members{"self"};
     std::minstd_rand random{7};
     for (int i = 0; i < 40; ++i) {
-        members.learn("p" + std::to_string(i), "there",
-                      {asio::ip::make_address("10.0.0.1"), static_cast<std::uint16_t>(7000 + i)}, start);
+        members.add_peer("p" + std::to_string(i), "there",
+                         {asio::ip::make_address("10.0.0.1"), static_cast<std::uint16_t>(7000 + i)}, start);
     }
-    const auto asked = members.to_ask({"stock"}, {"p1", "p2", "p3", "self"}, "here", 12, start, random);
-    BOOST_TEST(asked.related.size() == 3U);
-    BOOST_TEST(std::ranges::all_of(asked.related, [](const auto& item) { return item.port() < 7004; }));
+    const auto asked = members.select_targets({"stock"}, {"p1", "p2", "p3", "self"}, "here", 12, start, random);
+    BOOST_TEST(asked.service_peers.size() == 3U);
+    BOOST_TEST(std::ranges::all_of(asked.service_peers, [](const auto& item) { return item.port() < 7004; }));
 }
 
 // Guards against sending to every proxy that is behind what it has already.
@@ -396,30 +397,30 @@
 // No request is served for seconds after an outage of the store although every
 // server is well: their entries had expired meanwhile.
 BOOST_AUTO_TEST_CASE(servers_whose_entry_went_are_kept_for_a_while) {
-    cluster::registry_keeper keeper;
-    keeper.apply(test::three_servers(), start);
+    cluster::registry_cache cache;
+    cache.apply(test::three_servers(), start);
     auto fewer = test::three_servers();
     fewer.servers.erase("r1");
-    keeper.apply(fewer, start + 1s);
-    BOOST_TEST(keeper.effective().servers.contains("r1"));
-    BOOST_TEST((keeper.missing_for("r1", start + 2s) == 1000ms));
-    BOOST_TEST(!keeper.missing_for("p", start + 2s));
-    keeper.apply(test::three_servers(), start + 3s);
-    BOOST_TEST(!keeper.missing_for("r1", start + 3s));
-    keeper.apply(fewer, start + 4s);
-    BOOST_TEST(!keeper.expire(start + 8s));
-    BOOST_TEST(keeper.expire(start + 9s));
-    BOOST_TEST(!keeper.effective().servers.contains("r1"));
+    cache.apply(fewer, start + 1s);
+    BOOST_TEST(cache.effective().servers.contains("r1"));
+    BOOST_TEST((cache.missing_for("r1", start + 2s) == 1000ms));
+    BOOST_TEST(!cache.missing_for("p", start + 2s));
+    cache.apply(test::three_servers(), start + 3s);
+    BOOST_TEST(!cache.missing_for("r1", start + 3s));
+    cache.apply(fewer, start + 4s);
+    BOOST_TEST(!cache.expire(start + 8s));
+    BOOST_TEST(cache.expire(start + 9s));
+    BOOST_TEST(!cache.effective().servers.contains("r1"));
 }
 
 BOOST_AUTO_TEST_CASE(a_server_that_drained_and_went_is_gone_at_once) {
-    cluster::registry_keeper keeper;
+    cluster::registry_cache cache;
     auto servers = test::three_servers();
     servers.servers["r1"].draining = true;
-    keeper.apply(servers, start);
+    cache.apply(servers, start);
     servers.servers.erase("r1");
-    keeper.apply(servers, start + 1s);
-    BOOST_TEST(!keeper.effective().servers.contains("r1"));
+    cache.apply(servers, start + 1s);
+    BOOST_TEST(!cache.effective().servers.contains("r1"));
 }
 
 // Guards against judging a service by servers that are gone, or not by those that came.
@@ -429,19 +430,19 @@
     registered.servers.emplace("a1", routing::backend_server{.id = "a1", .service = "a"});
     registered.servers.emplace("a2", routing::backend_server{.id = "a2", .service = "a"});
     registered.servers.emplace("b1", routing::backend_server{.id = "b1", .service = "b"});
-    cluster::registry_keeper keeper;
-    keeper.apply(registered, start);
-    BOOST_TEST(keeper.by_service().size() == 2U);
-    BOOST_TEST(keeper.by_service().at("a").size() == 2U);
+    cluster::registry_cache cache;
+    cache.apply(registered, start);
+    BOOST_TEST(cache.by_service().size() == 2U);
+    BOOST_TEST(cache.by_service().at("a").size() == 2U);
     registered.version = 2;
     registered.servers.erase("a2");
     registered.servers.emplace("c1", routing::backend_server{.id = "c1", .service = "c"});
-    keeper.apply(registered, start + 1s);
-    BOOST_TEST(keeper.by_service().at("a").size() == 2U);
-    BOOST_TEST(keeper.by_service().at("c").front()->id == "c1");
-    BOOST_TEST(keeper.expire(start + 10s));
-    BOOST_TEST(keeper.by_service().at("a").size() == 1U);
-    BOOST_TEST(keeper.by_service().at("a").front()->id == "a1");
+    cache.apply(registered, start + 1s);
+    BOOST_TEST(cache.by_service().at("a").size() == 2U);
+    BOOST_TEST(cache.by_service().at("c").front()->id == "c1");
+    BOOST_TEST(cache.expire(start + 10s));
+    BOOST_TEST(cache.by_service().at("a").size() == 1U);
+    BOOST_TEST(cache.by_service().at("a").front()->id == "a1");
 }
 
 // A proxy keeps a configuration that was replaced long ago: the store dropped
@@ -479,16 +480,16 @@
 BOOST_AUTO_TEST_CASE(few_of_many_proxies_wait_for_changes) {
     using namespace cornellever::cluster;
     constexpr watch_policy plan{.first = 1s, .small_cluster = 8s, .large_cluster = 12s, .max_readers = 4};
-    BOOST_TEST((watch_mode_for(plan, 0, 64).waits && watch_mode_for(plan, 0, 64).span == 1s));
-    BOOST_TEST((watch_mode_for(plan, 3, 64).waits && watch_mode_for(plan, 3, 64).span == 12s));
-    BOOST_TEST(!watch_mode_for(plan, 4, 64).waits);
-    BOOST_TEST((watch_mode_for(plan, 4, 7).waits && watch_mode_for(plan, 4, 7).span == 8s));
-    const std::vector<std::string> able{"a", "b", "c", "d", "e"};
+    BOOST_TEST((watch_mode_for(plan, 0, 64).polls_store && watch_mode_for(plan, 0, 64).confirm_within == 1s));
+    BOOST_TEST((watch_mode_for(plan, 3, 64).polls_store && watch_mode_for(plan, 3, 64).confirm_within == 12s));
+    BOOST_TEST(!watch_mode_for(plan, 4, 64).polls_store);
+    BOOST_TEST((watch_mode_for(plan, 4, 7).polls_store && watch_mode_for(plan, 4, 7).confirm_within == 8s));
+    const std::vector<std::string> eligible{"a", "b", "c", "d", "e"};
     std::set<std::size_t> ranks;
-    for (const auto& name : able) {
-        ranks.insert(watch_rank("servers", name, able));
+    for (const auto& name : eligible) {
+        ranks.insert(watch_rank("servers", name, eligible));
     }
-    BOOST_TEST(ranks.size() == able.size());
+    BOOST_TEST(ranks.size() == eligible.size());
 }
 
 // Servers stay unknown to a proxy whose peers all died: it read the table once
--- a/tests/unit/store_watch.cpp
+++ b/tests/unit/store_watch.cpp
@@ -64,19 +64,19 @@
     asio::awaitable<void> keep_current(std::chrono::milliseconds span) {
         const auto until = boot_clock::now() + span;
         while (boot_clock::now() < until) {
-            pace.confirmed_current_at = boot_clock::now();
+            mode.confirmed_current_at = boot_clock::now();
             co_await sleep_for(20ms);
         }
     }
 
     event_loop io;
     small_store store;
-    cluster::watch_mode pace{.waits = false, .span = 300ms};
+    cluster::watch_mode mode{.polls_store = false, .confirm_within = 300ms};
     std::vector<std::uint64_t> versions;
     /// Whether the rows can be decoded.
     bool takes{true};
     boot_clock::time_point confirmed_current_at{};
-    cluster::table_follower<small_store> follower{store, "t", [this] { return pace; },
+    cluster::table_follower<small_store> follower{store, "t", [this] { return mode; },
                                                   [this](const cluster::table_rows&, std::uint64_t version) {
                                                       versions.push_back(version);
                                                       return takes;
@@ -113,10 +113,10 @@
 // waited out.
 BOOST_AUTO_TEST_CASE(a_proxy_whose_peer_is_ahead_asks_at_once) {
     followed_table table;
-    table.pace.span = 10s;
+    table.mode.confirm_within = 10s;
     table.play(50ms);
     table.store.version = 6;
-    table.pace.behind = true;
+    table.mode.behind = true;
     table.play(700ms);
     BOOST_TEST((table.versions == std::vector<std::uint64_t>{5, 6}));
     // A peer that is mistaken must not make it ask without a pause.
@@ -157,7 +157,7 @@
 // and never for later than it asked.
 BOOST_AUTO_TEST_CASE(an_answer_vouches_for_the_time_that_it_waited) {
     followed_table table;
-    table.pace = {.waits = true, .span = 100ms};
+    table.mode = {.polls_store = true, .confirm_within = 100ms};
     const auto begun = boot_clock::now();
     table.play(250ms);
     BOOST_TEST((table.confirmed_current_at >= begun + 100ms));
@@ -165,34 +165,34 @@
 }
 
 BOOST_AUTO_TEST_CASE(an_older_copy_of_a_peer_vouches_for_nothing) {
-    cluster::table_freshness news;
+    cluster::table_freshness freshness;
     const boot_clock::time_point at{1h};
-    news.note_peer_version(6, 6, at, at);
-    BOOST_TEST((news.confirmed_current_at() == at));
-    news.note_peer_version(5, 6, at + 1s, at + 1s);
-    BOOST_TEST((news.confirmed_current_at() == at));
-    BOOST_TEST(!news.behind(6, at + 10s));
-    news.note_peer_version(7, 6, at + 1s, at + 2s);
-    BOOST_TEST((news.confirmed_current_at() == at));
+    freshness.note_peer_version(6, 6, at, at);
+    BOOST_TEST((freshness.confirmed_current_at() == at));
+    freshness.note_peer_version(5, 6, at + 1s, at + 1s);
+    BOOST_TEST((freshness.confirmed_current_at() == at));
+    BOOST_TEST(!freshness.behind(6, at + 10s));
+    freshness.note_peer_version(7, 6, at + 1s, at + 2s);
+    BOOST_TEST((freshness.confirmed_current_at() == at));
     // Peers get the time to pass it on.
-    BOOST_TEST(!news.behind(6, at + 2s));
-    BOOST_TEST(news.behind(6, at + 4s));
-    BOOST_TEST(!news.behind(7, at + 4s));
+    BOOST_TEST(!freshness.behind(6, at + 2s));
+    BOOST_TEST(freshness.behind(6, at + 4s));
+    BOOST_TEST(!freshness.behind(7, at + 4s));
 }
 
 // Guards against a store that lost the newest configuration and vouches for the one before.
 BOOST_AUTO_TEST_CASE(a_store_that_shows_an_older_copy_vouches_for_nothing) {
-    cluster::table_freshness news;
-    news.note_stored(6);
-    BOOST_TEST(news.store_vouches_for(6));
-    news.note_stored(5);
-    BOOST_TEST(!news.store_vouches_for(6));
-    BOOST_TEST(news.store_vouches_for(5));
-    news.note_stored(6);
-    BOOST_TEST(news.store_vouches_for(6));
+    cluster::table_freshness freshness;
+    freshness.note_store_version(6);
+    BOOST_TEST(freshness.store_confirms(6));
+    freshness.note_store_version(5);
+    BOOST_TEST(!freshness.store_confirms(6));
+    BOOST_TEST(freshness.store_confirms(5));
+    freshness.note_store_version(6);
+    BOOST_TEST(freshness.store_confirms(6));
     const boot_clock::time_point at{1h};
-    news.note_peer_version(7, 6, at, at);
-    BOOST_TEST(!news.store_vouches_for(6));
+    freshness.note_peer_version(7, 6, at, at);
+    BOOST_TEST(!freshness.store_confirms(6));
 }
 
 BOOST_AUTO_TEST_CASE(calls_are_counted_by_table_and_purpose) {
