--- a/src/cornellever/cluster/configuration_reader.hpp
+++ b/src/cornellever/cluster/configuration_reader.hpp
@@ -13,18 +13,18 @@
 
 namespace cornellever::cluster {
 
-/// Makes the configuration of the operators' row. Their table has other rows
-/// too, and a configuration of many databases takes long to decode: a version
-/// of the row is decoded, or refused, once.
+/// Decodes the configuration from its row in the operators' table. The table has other rows too,
+/// and decoding a configuration of many databases is slow, so each version of the row is decoded,
+/// or rejected, only once.
 template <std::invocable<std::string_view> Decode>
 class configuration_reader {
 public:
-    /// `key` names the row; `decode` makes a configuration of its value, or says
-    /// what is wrong.
+    /// `key` is the key of the row. `decode` returns the configuration held by a row's value, or an
+    /// error that says why it is invalid.
     configuration_reader(std::string_view key, Decode decode) : m_key{key}, m_decode{std::move(decode)} {}
 
-    /// Hands the configuration to `take` where its row changed. Whether the row
-    /// holds a configuration that was taken; nothing when there is no row.
+    /// Passes the configuration to `take` if the row changed since the last call. Returns whether
+    /// the current version of the row is a valid configuration; nullopt if there is no such row.
     template <std::invocable<routing::configuration> Take>
     std::optional<bool> read(const table_rows& rows, Take take) {
         const auto row = rows.find(m_key);
--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -37,16 +37,16 @@
 
 namespace cornellever::cluster {
 
-/// What the control side has done, readable from any thread.
+/// Counters of the control plane; readable from any thread.
 struct control_counts {
     std::atomic<std::uint64_t> promoted{0};
     std::atomic<std::uint64_t> given_up{0};
     std::atomic<std::uint64_t> proxies{0};
 };
 
-/// The control side of a proxy, on a thread of its own: knows the other
-/// proxies, tells the traffic side of configuration, servers and what peers
-/// saw, and replaces primaries.
+/// The control plane of a proxy, run on its own thread. Exchanges heartbeats with the other
+/// proxies, keeps the configuration and the server registry up to date, passes both and the peers'
+/// primary observations to the traffic thread, and replaces failed or leaving primaries.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 class control {
 public:
@@ -65,28 +65,30 @@
         , m_socket{executor}
         , m_rpc{executor} {}
 
-    /// Binds its addresses and begins; `unavailable` when one is taken.
+    /// Binds the heartbeat and RPC addresses and starts the background tasks. Error: `unavailable`
+    /// if an address cannot be bound.
     [[nodiscard]] result<void> start();
 
-    /// Takes the configuration that the store shows; an older one than that at
-    /// hand changes nothing, but the store's word proves nothing until it has
-    /// caught up.
+    /// Applies the configuration read from the store. An older one than the one in force is
+    /// ignored, but until the store has caught up its answers do not confirm the newer one as
+    /// current.
     void apply_stored(routing::configuration config);
-    /// Takes the registered servers, from the store.
+    /// Applies the registered servers read from the store.
     void apply(const routing::registry& registered);
 
-    /// Whether the store answers this proxy at present.
+    /// Sets the callback that reports whether the store currently answers this proxy.
     void set_store_reachable(std::function<bool()> reachable) { m_store_reachable = std::move(reachable); }
 
-    /// Adds the traffic side to what `dump` tells; called on its thread.
+    /// Sets the callback that adds the state of the traffic side to the `dump` reply. It is called
+    /// on the traffic thread.
     void add_dump(std::function<Json::Value()> traffic) { m_dump_traffic = std::move(traffic); }
 
-    /// How this proxy keeps up with a table of the store at present.
+    /// How this proxy currently keeps its copy of a table up to date.
     [[nodiscard]] watch_mode watch_mode_of(cached_table what) const;
 
-    /// The store said that this proxy's copy was current at that time. One that
-    /// has returned from an older copy says so of a configuration that others know
-    /// to be replaced.
+    /// Records that the store confirmed the copy of a table as current at `at`. A store restored
+    /// from an older backup may give such a confirmation for a configuration that peers know to be
+    /// superseded; it is ignored then.
     void mark_current(cached_table what, time_point at) {
         auto& freshness = m_freshness.at(index_of(what));
         if (what != cached_table::configuration || freshness.store_confirms(m_config.version)) {
@@ -100,18 +102,19 @@
     [[nodiscard]] const control_counts& counts() const noexcept { return m_counts; }
     [[nodiscard]] const peer_traffic& received_from_peers() const noexcept { return m_peer_traffic; }
 
-    /// The store may have lost this proxy's row, which it writes again.
+    /// Writes this proxy's row to the store again, after the store may have lost it.
     void register_again() { asio::co_spawn(m_executor, rewrite_own_row(), asio::detached); }
 
-    /// This proxy stops by plan: it replaces no primary any more, and those
-    /// that start from now on do not learn of it.
+    /// Starts a planned shutdown: this proxy no longer starts promotions, and proxies that start
+    /// later do not discover it.
     asio::awaitable<void> prepare_to_leave();
 
-    /// Its connections are closed; the others may use what was its share.
+    /// Sends a farewell to all peers once this proxy's connections are closed, so that they can use
+    /// its share of the connections.
     void farewell();
 
 private:
-    /// What was last known of a service's primary.
+    /// The last known state of a service's primary.
     struct service_state {
         std::string primary;
         time_point leaderless_since{};
@@ -121,7 +124,7 @@
         time_point retry_at{};
     };
 
-    /// What a peer says of a primary, and the time from which its ages count.
+    /// A peer's report on a primary, and the time at which the ages in it were valid.
     struct peer_report {
         const primary_report* report{nullptr};
         time_point at{};
@@ -147,7 +150,7 @@
     [[nodiscard]] std::string own_row() const;
     asio::awaitable<void> load_proxies(store_rows listed);
     asio::awaitable<void> create_cluster_id();
-    /// Short, since every message carries it; never 0.
+    /// A short id, because every message carries it; never 0.
     [[nodiscard]] static std::uint64_t cluster_id(std::string_view name) noexcept {
         return stable_hash({name}) % 0xffffffffU + 1;
     }
@@ -170,9 +173,9 @@
     void check_primaries();
     void check_primary(const std::string& service, std::span<const routing::backend_server* const> servers,
                        service_state& state, std::span<const peer_report> peer_reports);
-    /// What peers that are alive say; valid until the next message of one.
+    /// Reports of the peers that are alive, by service. Valid until the next message from a peer.
     [[nodiscard]] reports_by_service reports_from_peers() const;
-    /// Null for a service that this proxy has not used.
+    /// This proxy's own observation; null for a service that it has not used.
     [[nodiscard]] const service_observation* observation_of(const std::string& service) const;
     [[nodiscard]] primary_verdict verdict_for(const service_state& state, const service_observation* seen,
                                               std::span<const peer_report> peer_reports,
@@ -184,47 +187,50 @@
     [[nodiscard]] bool confirmation_overdue(time_point now) const;
 
     static constexpr std::string_view proxies_table = "proxies";
-    /// The row of that table that holds `m_cluster`; no proxy has this name.
+    /// Key of the row in the proxies table that holds `m_cluster`. No proxy has this name.
     static constexpr std::string_view cluster_key = ".cluster";
     static constexpr std::chrono::milliseconds tick_period{100};
-    /// Often enough that a peer's sample is fresh for a read that may be 1.5 s
-    /// old, and that two lost datagrams do not make a proxy look dead.
+    /// Short enough that a peer's sample is still fresh for reads with a freshness bound of 1.5 s,
+    /// and that losing two datagrams does not make a proxy look dead.
     static constexpr std::chrono::milliseconds heartbeat_period{500};
     static constexpr std::chrono::milliseconds suspect_heartbeat_period{100};
-    /// The first proxy in the order of names acts; the others wait their turn
-    /// in case that it can't.
+    /// Proxies try a promotion in the order of their names: each waits one step longer than the one
+    /// before, in case that one cannot act.
     static constexpr std::chrono::milliseconds promotion_delay_step{250};
     static constexpr std::ptrdiff_t max_promotion_delay_steps = 6;
     static constexpr std::chrono::milliseconds retry_pause{300};
-    /// No replica stays: a new server has to register first.
+    /// Delay after no suitable replica was found: a new server has to register first.
     static constexpr std::chrono::milliseconds successor_wait{800};
-    /// Another proxy has claimed the promotion, which takes 1.2 s.
+    /// Delay after another proxy claimed the promotion; a promotion takes 1.2 s.
     static constexpr std::chrono::milliseconds other_claim_pause{1200};
-    /// Nobody leads and nobody was asked to: longer than a promotion takes.
+    /// How long a service may have neither a registered nor a reachable primary; longer than a
+    /// promotion takes.
     static constexpr std::chrono::milliseconds leaderless_timeout{1800};
-    /// The feed of the store is given that long before a peer is asked: half a
-    /// megabyte takes 0.4 s over the slowest links (10 Mbit/s).
+    /// How long the store's change feed may take before a peer is asked instead: half a megabyte
+    /// takes 0.4 s over the slowest links (10 Mbit/s).
     static constexpr std::chrono::milliseconds feed_head_start{500};
-    /// By then it has come to this data centre, unless those that fetch it are
-    /// cut off.
+    /// How long to wait for the proxies of the own data centre that fetch from another one. By then
+    /// they have the new version, unless they are cut off.
     static constexpr std::chrono::milliseconds remote_fetch_head_start{1200};
-    /// Servers leave with notice, and one that is gone shows by itself.
+    /// Servers leave with notice, and one that has failed is detected without the registry.
     static constexpr std::chrono::milliseconds registry_head_start{1500};
-    /// Until the others are known, the fewest connections are used.
+    /// Until the proxy list is complete or this much time has passed, the traffic side gets no list
+    /// and opens the fewest connections.
     static constexpr std::chrono::milliseconds peer_list_timeout{1500};
-    /// Until an answer of a peer begins, and between two pieces of it.
+    /// Timeout for the start of a peer's reply, and between two parts of it.
     static constexpr std::chrono::milliseconds catch_up_timeout{500};
-    /// Configurations that are being sent at a time. A small VM's link carries a
-    /// few in the time of a heartbeat; those that got one pass it on, and the rest
-    /// get it from them sooner than from a link that is shared by all.
+    /// Limit on configurations being sent at a time. A small VM's link carries a few within a
+    /// heartbeat period. The proxies that got one pass it on, which serves the rest sooner than one
+    /// link shared by all.
     static constexpr std::size_t max_uploads = 4;
-    /// Pause of a proxy that got no snapshot, spread over as much again.
+    /// Shortest pause after a failed snapshot request. The actual pause is random, up to twice as
+    /// long.
     static constexpr std::chrono::milliseconds catch_up_pause{60};
     static constexpr std::size_t max_service_peers_asked = 12;
     static constexpr std::chrono::milliseconds rewrite_spread{2000};
     static constexpr int max_rewrites = 5;
-    /// A message tells when so many others were last alive: with six exchanges
-    /// a second each of 64 proxies is heard of about once a second.
+    /// Number of live proxies listed in a gossip message. With six exchanges a second each, every
+    /// one of 64 proxies is mentioned about once a second.
     static constexpr std::size_t gossiped_peers = 6;
     /// Answers to older questions are too old to be of use.
     static constexpr std::size_t max_open_questions = 16;
@@ -242,38 +248,38 @@
     routing::configuration m_config;
     registry_cache m_registry;
     std::map<std::string, service_state, std::less<>> m_services;
-    /// What the traffic side last saw of the services that it uses, by name. Far
-    /// fewer than all services, and told in every message.
+    /// This proxy's latest observations of the services that it uses, by name. They are far fewer
+    /// than all services, and they are sent in every message.
     std::map<std::string, service_observation, std::less<>> m_observations;
     std::map<std::uint64_t, sent_question> m_questions;
     std::uint64_t m_last_nonce{0};
-    /// Tells the proxies of this deployment from those of others; 0 until it
-    /// was read from the store.
+    /// Id of this deployment, to ignore messages of other deployments; 0 until it has been read
+    /// from the store.
     std::uint64_t m_cluster{0};
     control_counts m_counts;
     peer_traffic m_peer_traffic;
     std::function<Json::Value()> m_dump_traffic{[] { return Json::Value{}; }};
-    /// By `cached_table`.
+    /// Indexed by `cached_table`.
     std::array<table_freshness, 2> m_freshness;
     std::function<bool()> m_store_reachable{[] { return true; }};
-    /// What the traffic side was last told of the configuration's age.
+    /// Time of the newest configuration confirmation passed to the traffic side.
     time_point m_published_confirmation{};
     time_point m_started{boot_clock::now()};
     time_point m_last_heartbeat{};
     time_point m_behind_since{};
     bool m_catching_up{false};
     time_point m_catch_up_after{};
-    /// Of the configuration at hand, once it was asked for.
+    /// Packed form of the configuration in force, computed when a peer first requests it.
     packed_part m_packed_config;
     packed_part m_packed_registry;
     std::size_t m_uploads{0};
     bool m_leaving{false};
-    /// Heard of since the last tick.
+    /// Proxies first seen since the last tick.
     std::vector<std::string> m_joined;
-    /// The others were read from the store.
+    /// Whether the other proxies have been read from the store.
     bool m_listed{false};
     std::vector<session::proxy_place> m_places;
-    /// Whether these were all that are in the table.
+    /// Whether `m_places` included every proxy in the table when it was published.
     bool m_places_complete{false};
     std::minstd_rand m_random{std::random_device{}()};
 };
--- a/src/cornellever/cluster/control_settings.hpp
+++ b/src/cornellever/cluster/control_settings.hpp
@@ -12,22 +12,22 @@
 
 namespace cornellever::cluster {
 
-/// Who this proxy is among the others.
+/// Settings of the control plane: this proxy's identity and addresses, and how it keeps up with the
+/// metadata store.
 struct control_settings {
     std::string name;
     std::string data_center;
     std::uint64_t incarnation{0};
     asio::ip::udp::endpoint heartbeats;
     tcp::endpoint peers;
-    /// Where this proxy takes sessions that others relay; the others do on the
-    /// same port.
+    /// Where this proxy accepts sessions that other proxies relay. All proxies use the same port.
     tcp::endpoint sessions;
     std::vector<asio::ip::udp::endpoint> seeds;
-    /// By `cached_table`: how proxies share the work of keeping up with a table.
+    /// Indexed by `cached_table`: how the proxies share the work of following a table.
     std::array<watch_policy, 2> watch;
-    /// How long this proxy may go without word that its configuration is the
-    /// newest before it asks its peers as often as it can; nothing where no key
-    /// has to be dead by a bound.
+    /// Age of the last confirmation that the configuration is current, from which this proxy asks
+    /// its peers as often as it can. Nothing where revoked keys need not stop working within a
+    /// bound.
     std::optional<std::chrono::milliseconds> confirmation_due{};
     /// All proxies start for the first time: none is registered yet.
     bool first_start{false};
--- a/src/cornellever/cluster/counted_store.hpp
+++ b/src/cornellever/cluster/counted_store.hpp
@@ -14,14 +14,14 @@
 
 /// Why the metadata store was called.
 enum class store_purpose {
-    /// This proxy's row among the proxies, written or removed.
+    /// This proxy's own row in the proxies table was written or removed.
     own_row,
     first_reading,
     waiting,
-    /// A whole table read again: in case that peers missed a change, or since
-    /// its history was gone.
+    /// A whole table was read again, in case peers missed a change or because its change history
+    /// was gone.
     reading_again,
-    /// Whatever followed a call to the same table that failed.
+    /// Any call that followed a failed call on the same table.
     retry,
     claim,
 };
@@ -44,9 +44,9 @@
     return "-";
 }
 
-/// A model of `metadata_store` that passes every call on to another one and
-/// counts it by table and purpose. Calls are limited for all proxies together
-/// and paid for one by one, so that operators need to see what makes them.
+/// A `metadata_store` that forwards each call to another one and counts it by table and purpose.
+/// The store limits the calls of all proxies together and every call is paid for, so operators need
+/// to see what causes them.
 template <metadata_store Store>
 class counted_store {
 public:
@@ -98,7 +98,7 @@
         co_return co_await m_store.remove(std::move(table), std::move(key));
     }
 
-    /// Calls so far, those that were never made left out; from any thread.
+    /// Calls so far; combinations that never occurred are left out. Callable from any thread.
     [[nodiscard]] std::vector<count> counts() const {
         const std::scoped_lock lock{m_mutex};
         std::vector<count> out;
@@ -120,7 +120,7 @@
     }
 
     Store& m_store;
-    /// Tables that were read whole, and those whose last call failed.
+    /// Tables that have been read whole, and tables whose last call failed.
     std::map<std::string, bool, std::less<>> m_loaded;
     std::map<std::string, bool, std::less<>> m_failed;
     mutable std::mutex m_mutex;
--- a/src/cornellever/cluster/describe.hpp
+++ b/src/cornellever/cluster/describe.hpp
@@ -8,7 +8,7 @@
 
 namespace cornellever::cluster {
 
-/// Counters of calls to the metadata store, by table and purpose.
+/// Exposes the counters of metadata store calls, by table and purpose.
 template <metadata_store Store>
 void expose(const counted_store<Store>& store, metrics::exposition& into) {
     for (const auto& item : store.counts()) {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Counters of other proxies' messages.
+/// Exposes the counters of messages received from other proxies.
 inline void expose(const peer_traffic& traffic, metrics::exposition& into) {
     for (const auto what : peer_traffic::kinds) {
         for (const bool same : {true, false}) {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The same as fields of a log line, for where only logs are at hand.
+/// The same counters as log fields, for deployments where only logs are available.
 template <metadata_store Store>
 [[nodiscard]] std::string traffic_log_fields(const counted_store<Store>& store, const peer_traffic& traffic) {
     std::string out;
--- a/src/cornellever/cluster/membership.hpp
+++ b/src/cornellever/cluster/membership.hpp
@@ -17,75 +17,77 @@
 
 namespace cornellever::cluster {
 
-/// Another proxy.
+/// What is known of another proxy.
 struct peer {
     asio::ip::udp::endpoint address;
     std::string data_center;
     std::uint64_t incarnation{0};
-    /// Of its process before this one, whose late messages don't count.
+    /// Incarnation of the peer's previous process; late messages from it are ignored.
     std::uint64_t previous_incarnation{0};
-    /// When it last answered or asked; the epoch when never.
+    /// When its last message arrived; the epoch if none has.
     boot_clock::time_point last_message_at{};
-    /// When it was last alive, by its own message or by another proxy's word.
+    /// When it was last known to be alive, from its own message or from gossip.
     boot_clock::time_point alive_at{};
-    /// When a message was first awaited from it.
+    /// When it was added to the membership.
     boot_clock::time_point known_since{};
-    /// The first question to it since its last message; the epoch when none.
+    /// When the first question since its last message was sent; the epoch if none is unanswered.
     boot_clock::time_point unanswered_since{};
     std::uint64_t config_version{0};
     std::uint64_t registry_version{0};
     bool store_reachable{true};
-    /// Its reports, and the time from which their ages count.
+    /// Its primary reports, and the time at which their ages were valid.
     std::vector<primary_report> primaries{};
     boot_clock::time_point reported_at{};
 };
 
-/// Whom a proxy asks at a time.
+/// The peers to send a heartbeat question to.
 struct heartbeat_targets {
     std::vector<asio::ip::udp::endpoint> service_peers;
-    /// With these it also exchanges the word on others.
+    /// Peers that also exchange gossip on which other proxies are alive.
     std::vector<asio::ip::udp::endpoint> gossip_peers;
 };
 
-/// The other proxies by name. A proxy is known from its row in the store, or
-/// from its own heartbeat, whichever comes first.
+/// The other proxies by name. A proxy is discovered from its row in the store or from its own
+/// heartbeat, whichever comes first. Failure detection is in the manner of SWIM: each proxy
+/// questions a few peers, gossips on the others, and removes one only after it left a direct
+/// question unanswered.
 class membership {
 public:
     using time_point = boot_clock::time_point;
 
-    /// A heartbeat at least every half second: two may be lost. Where each asks
-    /// only some, another's word takes the place of the heartbeat.
+    /// Heartbeats are at most half a second apart, so that two may be lost. In large clusters,
+    /// where each proxy asks only some others, gossip takes the place of the heartbeat.
     static constexpr std::chrono::milliseconds alive_timeout{1600};
-    /// A proxy that was killed is back, or replaced, by then; its connections
-    /// are left to it until then.
+    /// A killed proxy has restarted or has been replaced by then. Its share of the connections is
+    /// reserved for it that long.
     static constexpr std::chrono::milliseconds removal_timeout{8000};
-    /// Nobody's word of it for so long: it is asked itself, well before it
-    /// would be dropped.
+    /// A proxy of which nothing was heard for so long is asked directly, well before it would be
+    /// removed.
     static constexpr std::chrono::milliseconds suspect_after{4000};
-    /// An answer takes milliseconds; the question or it may be lost, and the
-    /// next one is half a second later.
+    /// An answer takes milliseconds, but it or the question may be lost, and the next question
+    /// follows half a second later.
     static constexpr std::chrono::milliseconds answer_timeout{1000};
-    /// Doubted proxies that are asked at a time. With more, the word of others
-    /// reaches each only later, and none is dropped for that.
+    /// Limit on suspects asked at a time. With more of them, each is confirmed later through
+    /// gossip, and none is removed for that.
     static constexpr std::size_t max_suspects_asked = 8;
 
     explicit membership(std::string self) : m_self{std::move(self)} {}
 
-    /// A proxy that may be up at `address`. A name that moved to another
-    /// address is taken there.
+    /// Adds a proxy that may be running at `address`. The address of a known proxy is updated
+    /// unless it is alive.
     void add_peer(const std::string& name, const std::string& data_center, const asio::ip::udp::endpoint& address,
                   time_point now);
 
-    /// A message of a proxy, whose ages count from `ages_as_of`. Returns
-    /// true when this process of it was not known before.
+    /// Records a message whose ages were valid at `ages_as_of`. Returns true if the sender's
+    /// process was not known before.
     bool record_message(const peer_message& message, const asio::ip::udp::endpoint& from, time_point now,
                         time_point ages_as_of);
 
-    /// Another proxy heard of it so long ago. One that is not known yet has no
-    /// address, and is learned of elsewhere.
+    /// Records that another proxy reported this peer to be alive. An unknown peer is ignored, since
+    /// its address is not given; it is discovered in other ways.
     void record_alive(const peer_liveness& other, time_point now);
 
-    /// Up to `count` proxies that were alive lately, for a message.
+    /// A random sample of up to `count` peers that are alive, to be gossiped.
     template <typename Random>
     [[nodiscard]] std::vector<peer_liveness> sample_alive(std::size_t count, time_point now, Random& random) const {
         using known = std::pair<const std::string, peer>;
@@ -105,12 +107,11 @@
         return out;
     }
 
-    /// The proxies to ask now: all while they are `most` or fewer. Otherwise
-    /// those that use one of `services` too, since they see the same primaries:
-    /// the `owners` of their connections, whether they have said so yet or not,
-    /// and those that said so. Besides, some of the rest to exchange the word on
-    /// others with: the one that was silent for longest and others of which no
-    /// word came lately, one of the same data centre, and one more.
+    /// Selects the peers to ask now: all of them if there are at most `max_peers`. Otherwise, first
+    /// the peers that use one of `services` too, because they observe the same primaries: the
+    /// `owners` of connections to them, whether or not they have reported it yet, and those that
+    /// have. In addition, some of the rest for gossip: the one silent for longest, one of the same
+    /// data centre, one at random, and suspects.
     template <typename Random>
     [[nodiscard]] heartbeat_targets
     select_targets(const std::set<std::string, std::less<>>& services, const std::set<std::string, std::less<>>& owners,
@@ -145,35 +146,34 @@
         return out;
     }
 
-    /// Questions were sent to these addresses.
+    /// Records that questions were sent to these addresses.
     void record_sent(std::span<const asio::ip::udp::endpoint> addresses, time_point now);
 
-    /// The proxy leaves by plan.
+    /// Removes a proxy that announced its shutdown.
     void leave(const std::string& name);
 
-    /// Drops proxies of which no word came for `removal_timeout` and that did not
-    /// answer this one either; returns their names. Silence alone is no
-    /// evidence: with 195 proxies each hears of another every few seconds on
-    /// average, and on a day without any fault they dropped each other 300 times
-    /// a second and shared out connections anew each time.
+    /// Removes the proxies that were not known to be alive for `removal_timeout` and left a
+    /// question of this proxy unanswered; returns their names. Silence alone is no evidence: with
+    /// 195 proxies, each hears of any other only every few seconds on average, and without this
+    /// rule healthy proxies removed each other 300 times a second and redistributed connections
+    /// each time.
     std::vector<std::string> remove_unresponsive(time_point now);
 
     [[nodiscard]] const std::map<std::string, peer, std::less<>>& peers() const noexcept { return m_peers; }
 
-    /// Names of the proxies that are alive and reach the store, in order; this
-    /// one is among them whether it reaches the store or not.
+    /// Sorted names of the proxies that are alive and reach the store. Always includes this proxy,
+    /// whether it reaches the store or not.
     [[nodiscard]] std::vector<std::string> eligible(time_point now) const;
 
-    /// Proxies whose connections count, this one among them.
+    /// The number of proxies that share the connections, including this one.
     [[nodiscard]] std::size_t proxy_count() const noexcept { return m_peers.size() + 1; }
 
     [[nodiscard]] static bool is_alive(const peer& item, time_point now) {
         return item.alive_at != time_point{} && now - item.alive_at < alive_timeout;
     }
 
-    /// Whether a proxy may be taken to work although there was no word of it in
-    /// the last second: it has not failed to answer, or is too new to have been
-    /// heard of.
+    /// Whether a proxy can be assumed to be alive without evidence from the last second: it has not
+    /// failed to answer, or was discovered too recently to have been heard of.
     [[nodiscard]] static bool is_presumed_alive(const peer& item, time_point now) {
         if (item.alive_at == time_point{}) {
             return now - item.known_since < alive_timeout;
@@ -182,8 +182,8 @@
     }
 
 private:
-    /// Whether a proxy is to be asked since no word of it came; two or three
-    /// times, and then no more: many may be behind a cut path.
+    /// Whether a peer is to be asked directly because it has not been seen alive for a while. It is
+    /// asked two or three times and then no more: many peers may be behind a broken network path.
     [[nodiscard]] static bool is_suspect(const peer& item, time_point now) {
         constexpr std::chrono::milliseconds asking_period{1500};
         return now - item.alive_at > suspect_after &&
--- a/src/cornellever/cluster/metadata_store.hpp
+++ b/src/cornellever/cluster/metadata_store.hpp
@@ -20,7 +20,7 @@
     /// The store's version at the row's last change.
     std::uint64_t version{0};
     bool deleted{false};
-    /// The store's own steady clock at its answer, where a single row was read.
+    /// The store's own steady clock when it answered; set only if a single row was read.
     std::chrono::milliseconds store_time{0};
 };
 
@@ -28,25 +28,25 @@
 struct store_rows {
     std::vector<store_row> rows;
     std::uint64_t version{0};
-    /// The store's own steady clock at its answer.
+    /// The store's own steady clock when it answered.
     std::chrono::milliseconds store_time{0};
 };
 
-/// The store of what must last. Errors: `unavailable` and `busy` (not done),
-/// `behind` (the history asked for is gone: read all again), `conflict` (a
-/// condition did not hold), `outcome_unknown` (may have been done, or may be
-/// done later if its condition still holds).
+/// Durable storage for cluster metadata. Errors: `unavailable` and `busy` (not executed), `behind`
+/// (the change history asked for is gone: read the whole table again), `conflict` (a condition did
+/// not hold), `outcome_unknown` (may have been executed, or may be later if its condition still
+/// holds).
 template <typename T>
 concept metadata_store = requires(T store, std::string table, std::string key, std::string value, std::uint64_t version,
                                   std::chrono::milliseconds wait) {
     /// All rows of a table.
     { store.list(table) } -> std::same_as<asio::awaitable<result<store_rows>>>;
-    /// Waits for changes after a version.
+    /// Waits up to `wait` for changes after a version.
     { store.changes(table, version, wait) } -> std::same_as<asio::awaitable<result<store_rows>>>;
     /// One row; a row that does not exist has version 0.
     { store.read(table, key) } -> std::same_as<asio::awaitable<result<store_row>>>;
-    /// Writes a row if its version is still `version` (0: it does not exist);
-    /// yields its new version.
+    /// Writes a row if its version is still `version` (0: it does not exist) and returns its new
+    /// version.
     { store.write_if(table, key, value, version) } -> std::same_as<asio::awaitable<result<std::uint64_t>>>;
     { store.write(table, key, value) } -> std::same_as<asio::awaitable<result<std::uint64_t>>>;
     { store.remove(table, key) } -> std::same_as<asio::awaitable<result<std::uint64_t>>>;
--- a/src/cornellever/cluster/peer_message.hpp
+++ b/src/cornellever/cluster/peer_message.hpp
@@ -11,48 +11,48 @@
 
 namespace cornellever::cluster {
 
-/// A log position that the primary proved to hold, and how long ago it was asked.
+/// A log position confirmed by the primary, and how long ago it was requested.
 struct aged_sample {
     std::chrono::milliseconds age{0};
     sql::log_position position;
 };
 
-/// What a proxy has seen of one service's primary. Ages are as of the sending
-/// of the message: clocks of different VMs are not compared.
+/// A proxy's observation of one service's primary, as sent to peers. Ages are relative to when the
+/// message was sent: clocks of different VMs are not compared.
 struct primary_report {
     std::string service;
     std::string primary;
-    /// Since the server last proved its lead, and since it last answered.
+    /// Time since the server last confirmed its leadership, and since it last answered.
     std::chrono::milliseconds leadership_confirmed_age{0};
     std::chrono::milliseconds last_answer_age{0};
-    /// Nobody answered at its address since; `refused` when its VM did, saying
-    /// that no process listens.
+    /// `unreachable`: nothing has answered at its address since. `refused`: its VM answered that no
+    /// process listens.
     bool unreachable{false};
     bool refused{false};
-    /// It answers and leads, without the commits that it had.
+    /// It answers as the primary but lacks commits that it had.
     bool log_lost{false};
     std::optional<aged_sample> sample{};
-    /// The furthest position that it is known to have named while it led, so
-    /// that a proxy that has just started can tell whether its log got shorter.
+    /// The highest log position that it is known to have reported as the primary. A proxy that has
+    /// just started needs it to detect that the log got shorter.
     std::optional<sql::log_position> furthest{};
 };
 
-/// Another proxy that the sender heard of, and how long ago it was alive.
+/// A proxy that the sender knows to be alive, and how long ago it last was.
 struct peer_liveness {
     std::string name;
     std::chrono::milliseconds age{0};
 };
 
-/// A heartbeat. A question is answered with the same nonce, so that who asked
-/// knows that the ages in the answer count from after the question. Greetings
-/// and farewells, of proxies that join and leave, are not answered.
+/// A heartbeat. An answer carries the nonce of its question, so the asker knows that the ages in it
+/// are relative to a time after the question was sent. Greetings and farewells, sent by proxies
+/// that join and leave, are not answered.
 struct peer_message {
     enum class kind { question, answer, greeting, farewell };
 
     kind what{kind::question};
     std::uint64_t nonce{0};
-    /// Of the deployment: addresses are used again by others, and a message
-    /// that was meant for another deployment must not count.
+    /// Id of the deployment. Addresses are reused, and messages meant for another deployment are
+    /// ignored.
     std::uint64_t cluster{0};
     std::string sender;
     std::string data_center{"-"};
@@ -60,25 +60,25 @@
     std::uint64_t incarnation{0};
     std::uint64_t config_version{0};
     std::uint64_t registry_version{0};
-    /// How long ago these were current, by the store's word that reached the
-    /// sender; nothing when none did.
+    /// Time since the store last confirmed these versions as current, directly or through peers;
+    /// nothing if it never has.
     std::optional<std::chrono::milliseconds> config_age{};
     std::optional<std::chrono::milliseconds> registry_age{};
     /// Whether the store answers the sender.
     bool store_reachable{true};
-    /// Whether the message tells what the sender saw of primaries; it may have
-    /// seen none.
+    /// Whether the message carries the sender's primary reports, of which there may be none.
     bool has_reports{true};
     std::vector<primary_report> primaries{};
-    /// A few others: with many proxies, each pair talks only now and then.
+    /// Some proxies known to be alive, as gossip: in large clusters any two proxies exchange
+    /// messages only now and then.
     std::vector<peer_liveness> alive_peers{};
 };
 
-/// One datagram. Fields are separated by blanks: a heartbeat is sent to every
-/// peer twice a second and bytes between data centres are paid for.
+/// Encodes a message as one datagram. Fields are separated by single spaces: a heartbeat is sent to
+/// every peer twice a second, and bytes between data centres are paid for.
 [[nodiscard]] std::string encode(const peer_message& message);
 
-/// Nothing when the bytes are not a message of this version.
+/// Nothing if the bytes are not a message of this protocol version.
 [[nodiscard]] std::optional<peer_message> decode(std::string_view bytes);
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/peer_traffic.hpp
+++ b/src/cornellever/cluster/peer_traffic.hpp
@@ -24,10 +24,9 @@
     return "-";
 }
 
-/// Messages of other proxies that arrived, by kind and by whether they came
-/// from this data centre: bytes between data centres are paid for. Counted
-/// where they arrive, since the sender does not look up where each goes.
-/// Readable from any thread.
+/// Counts received peer messages by kind and by whether they came from the same data centre,
+/// because traffic between data centres is paid for. They are counted on receipt: a sender does not
+/// look up the data centre of each target. Readable from any thread.
 class peer_traffic {
 public:
     static constexpr std::array kinds{peer_message::kind::question, peer_message::kind::answer,
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -18,44 +18,45 @@
 
 namespace cornellever::cluster {
 
-/// Where promotions are ordered. Errors: `fenced` (a higher token was seen, or
-/// the server does not run), `busy` and `unavailable` (not done), else
-/// `outcome_unknown`: the order may be carried out later.
+/// The platform interface that executes promotions. Errors: `fenced` (a higher fencing token was
+/// seen, or the server does not run), `busy` and `unavailable` (not executed); after
+/// `outcome_unknown` the order may still be executed later.
 template <typename T>
 concept promotion_orders = requires(T orders, std::string text, std::uint64_t token) {
     { orders.promote(text, text, text, token) } -> std::same_as<asio::awaitable<result<void>>>;
 };
 
-/// The servers of a service, as a promotion needs them.
+/// The servers of a service as a promotion accesses them.
 template <typename T>
 concept promotion_servers = requires(T servers, std::string text, std::chrono::milliseconds timeout) {
-    /// A report of each registered server but the second argument's.
+    /// A report for each registered server except the second argument's.
     { servers.query_replicas(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
-    /// Whether a server answers as the primary within `timeout`.
+    /// Whether a server confirms within `timeout` that it is the primary.
     { servers.leads_now(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
-    /// Whether a server leads, waiting up to `timeout` for it.
+    /// Waits up to `timeout` for a server to become the primary; returns whether it did.
     { servers.await_leadership(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
 };
 
-/// How a promotion ended.
+/// How a promotion ended: the final state of the chart, the event that led to it, and the server
+/// chosen.
 struct promotion_outcome {
     std::string state;
     std::string event;
     std::string successor;
 };
 
-/// Replaces a service's primary by the steps of a state chart.
+/// Replaces a service's primary by running a state chart.
 ///
-/// Any proxy may try. A row of the metadata store says whose turn it is: it is
-/// written on the condition that it is unchanged since it was read, and its new
-/// version is the fencing token of the order. So two proxies never order with
-/// the same token, and an order that was delayed, or comes from a proxy that
-/// was paused meanwhile, is refused once a later one was given.
+/// Any proxy may try. Mutual exclusion is by a claim row in the metadata store: it is written on
+/// the condition that it has not changed since it was read, and its new version becomes the fencing
+/// token of the promotion order. So two proxies never use the same token, and an order that was
+/// delayed, or that comes from a proxy that was paused meanwhile, is refused once a later order was
+/// executed.
 template <metadata_store Store, promotion_servers Servers, promotion_orders Orders>
 class promotion {
 public:
-    /// `holder` names this proxy to the platform; `claimant` also tells one
-    /// start of its process from another.
+    /// `holder` identifies this proxy to the platform; `claimant` also distinguishes incarnations
+    /// of its process.
     promotion(Store& store, Servers& servers, Orders& orders, const chart& steps, std::string holder,
               std::string claimant)
         : m_store{store}
@@ -65,8 +66,8 @@
         , m_holder{std::move(holder)}
         , m_claimant{std::move(claimant)} {}
 
-    /// Runs the chart once, to replace `old` (empty when no primary is known),
-    /// which has been judged lost or leaving for `judged_for`.
+    /// Runs the chart once to replace `old` (empty if no primary is known), which has been judged
+    /// lost or leaving for `judged_for`.
     asio::awaitable<promotion_outcome> run(std::string service, std::string old, primary_verdict why,
                                            boot_clock::time_point::duration judged_for = {}) {
         attempt current{.service = std::move(service), .old = std::move(old), .why = why, .judged_for = judged_for};
@@ -94,18 +95,18 @@
         int orders{0};
     };
 
-    /// A promotion takes about 1.2 s from the order to the lead; in that time
-    /// nobody else begins one for the same primary.
+    /// How long a claim excludes the other proxies from replacing the same primary. A promotion
+    /// takes about 1.2 s from the order until the new primary is confirmed.
     static constexpr std::chrono::milliseconds claim_lease{2600};
     static constexpr std::chrono::milliseconds leadership_timeout{1400};
-    /// How long a server that may hold the only log is waited for: longer than
-    /// most take to start again. Callers are refused meanwhile.
+    /// How long to wait for a silent server that may hold the only log: longer than most servers
+    /// take to restart. Callers are refused meanwhile.
     static constexpr std::chrono::milliseconds missing_log_wait{5000};
-    /// A new connection (12 to 30 ms) and a question that takes no slot; a
-    /// primary that went dark costs this much of the gap (1.2 to 2.0 s).
+    /// Allows for a new connection (12 to 30 ms) and a request that takes no slot. If the primary
+    /// does not answer at all, this adds to the write outage (1.2 to 2.0 s).
     static constexpr std::chrono::milliseconds recheck_timeout{100};
-    /// An unanswered order may be carried out up to 12 s later; others get
-    /// their turn long before.
+    /// An unanswered order may be executed up to 12 s later. This limit lets other proxies claim
+    /// the promotion long before that.
     static constexpr int max_orders = 3;
 
     asio::awaitable<std::string> act(std::string_view action, attempt& current) {
@@ -166,8 +167,8 @@
         if (written.error().code == errc::conflict) {
             co_return "held_by_other";
         }
-        // The answer was lost, perhaps after the row was written; the row
-        // tells, since no other claim has this holder and number.
+        // The response was lost, perhaps after the row was written. The row shows which: no other
+        // claim has this holder and number.
         auto after = co_await m_store.read(std::string{claims_table}, current.service);
         if (!after) {
             co_return "store_unreachable";
@@ -180,10 +181,10 @@
         co_return "held_by_other";
     }
 
-    /// A partition that ends during the attempt shows a primary that is well:
-    /// the evidence against it is from before the claim, which may have taken
-    /// as long as the store could not be reached. Ordered all the same, the
-    /// promotion would roll back what others wrote at the primary meanwhile.
+    /// A network partition that ends during the attempt leaves a healthy primary: the evidence
+    /// against it is from before the claim, which may have taken as long as the store was
+    /// unreachable. Promoting a replica then would roll back what others wrote at the primary
+    /// meanwhile.
     asio::awaitable<std::string> recheck(attempt& current) {
         if (current.why != primary_verdict::lost || current.old.empty()) {
             co_return "gone";
--- a/src/cornellever/cluster/promotion_claim.hpp
+++ b/src/cornellever/cluster/promotion_claim.hpp
@@ -8,17 +8,17 @@
 
 namespace cornellever::cluster {
 
-/// The table that holds, per service, whose turn it is to replace its primary.
+/// The table that holds, per service, the claim on replacing its primary.
 inline constexpr std::string_view claims_table = "promotions";
 
 /// A row of that table.
 struct promotion_claim {
-    /// Name and incarnation of the proxy whose turn it is.
+    /// Name and incarnation of the proxy that holds the claim.
     std::string holder;
-    /// The primary to be replaced; empty when none was known.
+    /// The primary to be replaced; empty if none was known.
     std::string replaces;
     std::string successor;
-    /// Counts the claims of the holder, so that it knows its own row.
+    /// Number of the claim among those of its holder, by which the holder recognises its own row.
     std::uint64_t number{0};
     /// The store's clock when the claim was made.
     std::chrono::milliseconds at{0};
@@ -26,7 +26,7 @@
 
 [[nodiscard]] std::string encode(const promotion_claim& claim);
 
-/// Nothing when the text is no claim, such as that of a row not yet written.
+/// Nothing if the text is not a claim, such as the value of a row that does not exist.
 [[nodiscard]] std::optional<promotion_claim> decode_claim(std::string_view text);
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/registry_cache.hpp
+++ b/src/cornellever/cluster/registry_cache.hpp
@@ -11,10 +11,9 @@
 
 namespace cornellever::cluster {
 
-/// The backend servers to reckon with: those registered, and those whose entry
-/// has gone just now. An entry also goes when its server, alive and serving,
-/// can't reach the store for a while; dropping it at once would stop all
-/// writes although nothing is wrong with the server.
+/// The backend servers in use: those registered, and for a grace period also those whose entry has
+/// disappeared. An entry expires even for a healthy server that cannot reach the store for a while;
+/// dropping the server at once would stop all writes although nothing is wrong with it.
 class registry_cache {
 public:
     using time_point = boot_clock::time_point;
@@ -23,36 +22,35 @@
     registry_cache(const registry_cache&) = delete;
     registry_cache& operator=(const registry_cache&) = delete;
 
-    /// Takes the registered servers as they are now.
+    /// Replaces the registered servers.
     void apply(const routing::registry& registered, time_point now);
 
-    /// The same servers under a newer version.
+    /// Sets a newer version for the same servers.
     void renumber(std::uint64_t version) {
         m_registered.version = version;
         m_effective.version = version;
     }
 
-    /// Drops what has been missing for too long; true when that changed
-    /// anything.
+    /// Drops the servers whose entry has been missing for longer than the grace period; returns
+    /// whether there were any.
     bool expire(time_point now);
 
     [[nodiscard]] const routing::registry& effective() const noexcept { return m_effective; }
 
-    /// The servers of `effective` by their service; valid until the next change.
+    /// The servers in `effective` by service; valid until the next change.
     [[nodiscard]] const routing::servers_by_service& by_service() const noexcept { return m_by_service; }
 
-    /// What is registered, without what is kept. Peers are told this: what one
-    /// proxy keeps must not look registered to another.
+    /// The registered servers without those in their grace period. Peers get these: a server that
+    /// one proxy retains must not look registered to another.
     [[nodiscard]] const routing::registry& registered() const noexcept { return m_registered; }
 
-    /// How long the entry of a server has been gone; nothing while it is there
-    /// or for a server not known.
+    /// How long the entry of a server has been missing; nothing if it is present or the server is
+    /// unknown.
     [[nodiscard]] std::optional<std::chrono::milliseconds> missing_for(const std::string& id, time_point now) const;
 
 private:
-    /// Entries are back about 2 s after the store is; a server gets nothing
-    /// new 7 s after its entry went (the operators' drain time), with room for
-    /// what is under way.
+    /// Entries are back about 2 s after the store is. A server gets no new work 7 s after its entry
+    /// disappeared (the operators' drain time), which leaves room for requests in progress.
     static constexpr std::chrono::milliseconds grace_period{4500};
 
     routing::registry m_registered;
--- a/src/cornellever/cluster/registry_reader.hpp
+++ b/src/cornellever/cluster/registry_reader.hpp
@@ -15,14 +15,14 @@
 
 namespace cornellever::cluster {
 
-/// Makes the registry of the rows that servers wrote about themselves. Anybody
-/// may write there: a row that can't be decoded names no server, as if it were
-/// missing, and the others hold. Each such row is logged once for each version
-/// of it, since the table is read as a whole at every change.
+/// Decodes the registry from the rows that servers write about themselves. Anybody may write there:
+/// a row that cannot be decoded is treated as missing, and the other rows are used. Each version of
+/// such a row is logged only once, since the whole table is decoded at every change.
 template <std::invocable<std::string_view, std::string_view> Decode>
 class registry_reader {
 public:
-    /// `decode` makes a server of a row's key and value, or says what is wrong.
+    /// `decode` returns the server described by a row's key and value, or an error that says why it
+    /// is invalid.
     explicit registry_reader(Decode decode) : m_decode{std::move(decode)} {}
 
     [[nodiscard]] routing::registry read(const table_rows& rows, std::uint64_t version) {
@@ -47,13 +47,12 @@
         return out;
     }
 
-    /// Rows that could not be decoded so far, a changed one counted again;
-    /// readable from any thread.
+    /// Number of row versions rejected so far; readable from any thread.
     [[nodiscard]] std::uint64_t refusals() const noexcept { return m_refusals; }
 
 private:
     Decode m_decode;
-    /// The rows that can't be decoded at present, and their versions.
+    /// The rows currently rejected, and their versions.
     std::map<std::string, std::uint64_t, std::less<>> m_refused;
     std::atomic<std::uint64_t> m_refusals{0};
 };
--- a/src/cornellever/cluster/store_watch.hpp
+++ b/src/cornellever/cluster/store_watch.hpp
@@ -12,44 +12,45 @@
 
 namespace cornellever::cluster {
 
-/// How a proxy keeps up with a table of the metadata store.
+/// How a proxy keeps its copy of a metadata store table up to date: by long polls at the store, or
+/// from its peers.
 struct watch_mode {
-    /// Whether it waits for changes at the store. Otherwise it learns of them
-    /// from its peers, and asks by itself where they leave it without word.
+    /// Whether it waits at the store for changes. Otherwise it gets them from its peers and queries
+    /// the store only if they do not confirm its copy as current.
     bool polls_store{true};
-    /// How long one question for changes waits. For a proxy that relies on its
-    /// peers: how old their word may be that its copy of the table is current.
+    /// With `polls_store`, the duration of one long poll. Otherwise, the greatest age of the peers'
+    /// last confirmation that the copy is current.
     std::chrono::milliseconds confirm_within{0};
-    /// The moment of which peers said so; the epoch when none did.
+    /// Time for which peers confirmed the copy as current; the epoch if none did.
     boot_clock::time_point confirmed_current_at{};
     /// A peer holds a newer version than this proxy.
     bool behind{false};
 };
 
-/// The pace for a table. Every call to the store is paid for and wakes a
-/// proxy, and the store takes a limited number of calls from all together.
+/// How the proxies share the work of following a table. Every store call is paid for and wakes a
+/// proxy, and the store limits the calls of all proxies together.
 struct watch_policy {
-    /// One proxy, the first of the table, asks at short intervals. A connection
-    /// that went silent shows at the end of the interval; its peers hear from
-    /// it what theirs did not bring.
+    /// Duration of a long poll of the proxy of rank 0. It is short, because a connection that
+    /// silently broke is noticed when the poll ends; the other proxies then get from this one the
+    /// changes that their own connections missed.
     std::chrono::milliseconds first{0};
-    /// The others, while the proxies are few.
+    /// Duration of a long poll of the other proxies in a small cluster.
     std::chrono::milliseconds small_cluster{0};
-    /// With many proxies, those after the first that wait too: what they hear
-    /// keeps the others current.
+    /// Duration of a long poll of the other proxies that poll in a large cluster; their
+    /// confirmations keep the rest current.
     std::chrono::milliseconds large_cluster{0};
-    /// With many proxies, only so many wait for changes.
+    /// In a large cluster, the number of proxies that poll the store.
     std::size_t max_readers{0};
-    /// With many proxies, the others ask by themselves when nobody said for so
-    /// long that their copy is current.
+    /// In a large cluster, the proxies that do not poll query the store once the last confirmation
+    /// of their copy is older than this.
     std::chrono::milliseconds max_confirmation_age{0};
 };
 
-/// With up to so many proxies every one waits for changes by itself.
+/// In a cluster of up to this many proxies, each one polls the store.
 inline constexpr std::size_t small_cluster_size = 12;
 
-/// The place of `self` among the proxies that reach the store, other for each
-/// table, so that not always the same ones do the work.
+/// The rank of `self` among the proxies that reach the store. The order differs by table, so that
+/// the work is not always done by the same proxies.
 [[nodiscard]] inline std::size_t watch_rank(std::string_view table, std::string_view self,
                                             std::span<const std::string> eligible) {
     const auto mine = stable_hash({table, "/", self});
@@ -58,7 +59,7 @@
     }));
 }
 
-/// The pace of the proxy of this rank among so many.
+/// The mode of the proxy of this rank in a cluster of `proxies` proxies.
 [[nodiscard]] constexpr watch_mode watch_mode_for(const watch_policy& policy, std::size_t rank, std::size_t proxies) {
     if (rank == 0) {
         return {.polls_store = true, .confirm_within = policy.first};
--- a/src/cornellever/cluster/table_follower.hpp
+++ b/src/cornellever/cluster/table_follower.hpp
@@ -19,21 +19,20 @@
 /// Rows of a table by key.
 using table_rows = std::map<std::string, store_row, std::less<>>;
 
-/// Keeps a copy of a table of the metadata store: reads it whole, then waits
-/// for changes, or relies on the word of peers; reads it whole again when the
-/// history that it asks for is gone. Goes on through every failure.
+/// Keeps a copy of a metadata store table up to date. Reads the whole table, then long-polls for
+/// changes or relies on peers, as its watch mode says; reads the whole table again if the change
+/// history was discarded. Retries after every failure.
 template <metadata_store Store>
 class table_follower {
 public:
-    /// Takes the rows, and the version of the last change to any of them; whether
-    /// it could.
+    /// Receives the rows and the version of the last change to any of them; returns whether the
+    /// rows could be applied.
     using on_change = std::function<bool(const table_rows& rows, std::uint64_t version)>;
-    /// Takes the moment of which the store said that the copy was current.
+    /// Receives a time at which the store confirmed the copy as current.
     using on_current = std::function<void(boot_clock::time_point at)>;
 
-    /// `mode` is asked before each question: a connection that went silent is
-    /// noticed when the wait that it told has passed, plus the store's own call
-    /// limit.
+    /// `mode` is called before each query. A broken connection that reports no error is detected
+    /// when the long poll that it set and the store client's call timeout have passed.
     table_follower(
         Store& store, std::string table, std::function<watch_mode()> mode, on_change changed,
         on_current current = [](boot_clock::time_point) {})
@@ -43,13 +42,13 @@
         , m_changed{std::move(changed)}
         , m_current{std::move(current)} {}
 
-    /// Follows until the event loop ends.
+    /// Runs until the event loop ends.
     asio::awaitable<void> run() {
         for (;;) {
             co_await await_need();
             m_queried_at = boot_clock::now();
-            // After a failure the store is asked for an answer at once: the wait
-            // for a change would keep its return unknown for as long.
+            // After a failure the store is queried without waiting for changes; a long poll would
+            // delay noticing that it has recovered.
             const auto mode = m_mode();
             const auto wait = m_failures > 0 || !mode.polls_store ? std::chrono::milliseconds{0} : mode.confirm_within;
             auto got = co_await query(wait);
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Whether the store answered the last question.
+    /// Whether the store answered the last query.
     [[nodiscard]] bool reachable() const noexcept { return m_failures == 0 && m_version != 0; }
 
 private:
@@ -80,22 +79,20 @@
 
     static constexpr std::chrono::milliseconds peer_check_period{100};
 
-    /// A peer that holds a newer version may be mistaken; the store is not
-    /// asked more often on its word than this.
+    /// Least time between two queries made because a peer holds a newer version; the peer may be
+    /// wrong.
     static constexpr std::chrono::milliseconds min_query_interval{400};
 
-    /// A proxy that the store turns away, while peers tell it all that the
-    /// store would, tries again after so long: it has to know when the store
-    /// answers it again only for its turn at replacing a primary, and that
-    /// turn comes without the store too, 2 s later. A store that is down for
-    /// all is asked so seldom by all but a few, since every try of every proxy
-    /// is a call that counts.
+    /// Retry interval of a proxy that the store refuses while its peers keep its copy current. It
+    /// needs to know that the store answers it again only to take part in promotions in its regular
+    /// order, and without the store it does so 2 s later. If the store is down for all, this keeps
+    /// most proxies from querying it often: every attempt of every proxy counts as a call.
     static constexpr std::chrono::milliseconds unreachable_retry_interval{5000};
 
-    /// Spreads the questions of all proxies to a store that has just returned.
+    /// Spreads the queries of all proxies to a store that has just recovered.
     static constexpr std::chrono::milliseconds recovery_spread{500};
 
-    /// Lets the time pass in which peers keep this proxy's copy current.
+    /// Waits as long as peers keep this proxy's copy current.
     asio::awaitable<void> await_need() {
         while (relies_on_peers(m_mode())) {
             co_await sleep_for(peer_check_period);
@@ -126,14 +123,14 @@
         return m_store.changes(m_table, m_version, wait);
     }
 
-    /// An answer says how things were when the store gave it: after the question
-    /// came, and where it waited for changes in vain, after the wait. One that
-    /// brings changes was given as soon as there were any, however late it comes.
+    /// Records the time for which an answer confirms the copy. An answer reflects the store when it
+    /// was given: after the query arrived and, if a long poll ended without changes, after its full
+    /// duration. An answer with changes was given as soon as there were any, however late it
+    /// arrives.
     void mark_current(std::chrono::milliseconds waited) {
         const auto now = boot_clock::now();
         m_current_at = std::max(m_current_at, now - m_queried_at >= waited ? m_queried_at + waited : m_queried_at);
-        // Rows that could not be taken leave an older copy in force, which must
-        // not count as current.
+        // If the rows were rejected, an older copy is still in force and must not count as current.
         if (m_applied) {
             m_current(m_current_at);
         }
@@ -161,8 +158,8 @@
         }
     }
 
-    /// Rows that somebody wrote must not end the loop that follows them: were
-    /// an exception to leave it, this proxy would never learn of a change again.
+    /// Invalid rows must not end the follower loop: if an exception left it, this proxy would never
+    /// get another change.
     bool notify() {
         try {
             return m_changed(m_rows, m_last_change);
@@ -191,8 +188,8 @@
         }
     }
 
-    /// Doubles with each failure and is spread, so that all proxies do not ask
-    /// again in the same moment when the store returns.
+    /// Doubles with each failure and is randomised, so that the proxies do not all query a
+    /// recovering store at once.
     std::chrono::milliseconds next_backoff() {
         const auto mode = m_mode();
         if (!mode.polls_store && has_copy(mode)) {
@@ -214,18 +211,18 @@
     on_current m_current;
     table_rows m_rows;
     std::uint64_t m_version{0};
-    /// The newest version of a row. The store's own version grows with changes
-    /// to other tables too, and would look newer to those who read this one
-    /// before, although nothing in it is.
+    /// The newest version of a row. The store's own version also grows with changes to other
+    /// tables, and would look newer to peers that read this table earlier although nothing in it
+    /// changed.
     std::uint64_t m_last_change{0};
     bool m_loaded{false};
     bool m_applied{false};
     int m_failures{0};
     boot_clock::time_point m_queried_at{};
-    /// Of when the store last said that the copy was current.
+    /// Time for which the store last confirmed the copy as current.
     boot_clock::time_point m_current_at{};
-    /// At the last failure: whether the copy was current all the same, and when
-    /// a proxy that relies on its peers tries again.
+    /// Whether the copy was current nevertheless at the last failure, and when a proxy that relies
+    /// on its peers tries the store again.
     bool m_was_current{false};
     boot_clock::time_point m_retry_at{};
     std::minstd_rand m_random{std::random_device{}()};
--- a/src/cornellever/cluster/table_freshness.hpp
+++ b/src/cornellever/cluster/table_freshness.hpp
@@ -8,21 +8,21 @@
 
 namespace cornellever::cluster {
 
-/// The tables of the metadata store of which every proxy holds a copy.
+/// The metadata store tables of which every proxy holds a copy.
 enum class cached_table { configuration, servers };
 
-/// What is known of a table beside the copy at hand: when that copy was last
-/// known to be current, by the store's word or a peer's, and the newest version
-/// that a peer was heard to hold. Few proxies ask the store; with the age of
-/// its word in every heartbeat the others know how far they may rely on them.
+/// How fresh this proxy's copy of a table is: when the store or a peer last confirmed it as
+/// current, and the newest version that a peer is known to hold. Only a few proxies query the
+/// store; each heartbeat carries the age of the sender's last confirmation, so that the others can
+/// tell how far to trust their copies.
 class table_freshness {
 public:
     using time_point = boot_clock::time_point;
 
     void mark_current(time_point at) { m_current_at = std::max(m_current_at, at); }
 
-    /// A peer holds `peer_version`, which was current at `at`, where this proxy holds
-    /// `own_version`. An older copy says nothing of this one.
+    /// Records that a peer holds `peer_version`, confirmed as current at `at`, while this proxy
+    /// holds `own_version`. An older version at the peer says nothing about this copy.
     void note_peer_version(std::uint64_t peer_version, std::uint64_t own_version, time_point at, time_point now) {
         if (peer_version > m_newest_at_peers) {
             m_newest_at_peers = peer_version;
@@ -33,27 +33,26 @@
         }
     }
 
-    /// The store shows `version`. It may be older than the copy at hand: the store
-    /// has returned from an older copy of its own.
+    /// Records the version in the store. It may be older than this proxy's copy if the store was
+    /// restored from a backup.
     void note_store_version(std::uint64_t version) noexcept { m_store_version = version; }
 
-    /// Whether the store's word that nothing changed says that `own_version` is the
-    /// newest. It does not where the store lost it, and with it perhaps a newer one.
+    /// Whether an answer from the store that nothing changed confirms `own_version` as the newest.
+    /// It does not if the store lost that version, and possibly a newer one with it.
     [[nodiscard]] bool store_confirms(std::uint64_t own_version) const noexcept {
         return m_newest_at_peers <= own_version && m_store_version >= own_version;
     }
 
     [[nodiscard]] time_point confirmed_current_at() const noexcept { return m_current_at; }
 
-    /// Whether a peer has had a newer version for so long that it should be here
-    /// by now.
+    /// Whether a peer has had a newer version for so long that it should have arrived here.
     [[nodiscard]] bool behind(std::uint64_t own_version, time_point now) const noexcept {
         return m_newest_at_peers > own_version && now - m_newest_seen_at >= propagation_time;
     }
 
 private:
-    /// A peer of the same data centre is asked at once, one of another after
-    /// 1.2 s; the answer takes milliseconds, on a busy VM a good part of a second.
+    /// A peer of the same data centre is asked at once and one of another data centre after 1.2 s;
+    /// the answer takes milliseconds, or most of a second on a busy VM.
     static constexpr std::chrono::milliseconds propagation_time{1800};
 
     time_point m_current_at{};
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -17,32 +17,31 @@
 
 namespace cornellever::cluster {
 
-/// What the traffic side sees of one service.
+/// This proxy's observation of one service.
 struct service_observation {
     std::string service;
     routing::primary_sight primary;
     std::optional<routing::freshness_sample> sample;
 };
 
-/// What a peer saw of one service's primary, in this proxy's own time.
+/// A peer's observation of one service's primary, with times on this proxy's clock.
 struct peer_observation {
     std::string service;
-    /// Empty when the peer does not reach it.
+    /// Empty if the peer does not reach it.
     std::string primary;
     boot_clock::time_point confirmed_at;
     std::optional<routing::freshness_sample> sample;
-    /// The peer, and when it last heard that primary.
+    /// The peer, and when the primary last answered it.
     session::proxy_place peer;
     boot_clock::time_point heard_at;
-    /// The server that the peer reports on, and the furthest position that it
-    /// is known to have named while it led.
+    /// The server that the peer reports on, and the highest log position that it is known to have
+    /// reported as the primary.
     std::string reported;
     std::optional<sql::log_position> furthest;
 };
 
-/// The traffic side as the control side uses it: every call is carried out on
-/// the traffic thread, its answer comes back to the caller's. A model of
-/// `promotion_servers`.
+/// The control plane's access to the traffic side: every call runs on the traffic thread, and its
+/// result is returned on the caller's. A model of `promotion_servers`.
 template <routing::link_connector Connector>
 class traffic_bridge {
 public:
@@ -99,7 +98,7 @@
 private:
     using pool = typename traffic::pool;
 
-    /// Answers to a survey, filled in by one coroutine a server.
+    /// Replies of the servers queried, filled in by one coroutine a server.
     struct query_state {
         explicit query_state(const asio::any_io_executor& executor) : done{executor} {}
 
@@ -108,8 +107,8 @@
         asio::steady_timer done;
     };
 
-    /// A server that answers at all does so in a few round trips, unless its
-    /// two slots are taken by long statements.
+    /// A server that answers at all does so within a few round trips, unless long statements take
+    /// both of its slots.
     static constexpr std::chrono::milliseconds query_timeout{450};
     static constexpr std::chrono::milliseconds probe_period{50};
 
@@ -137,7 +136,7 @@
     asio::awaitable<std::vector<service_observation>> collect_observations() {
         std::vector<service_observation> out;
         for (const auto& [name, backends] : m_host.pools()) {
-            // What was not used has not been looked at.
+            // An unused service has not been observed.
             if (!backends->used()) {
                 continue;
             }
@@ -156,7 +155,7 @@
                 report.received = status->received;
                 report.is_primary = status->leads;
             } else if (answer->position) {
-                // Too busy to produce; what it has applied it has received.
+                // The server is too busy to give its status. What it has applied, it has received.
                 report.received = *answer->position;
             }
         }
