--- a/src/cornellever/cluster/control.ipp
+++ b/src/cornellever/cluster/control.ipp
@@ -97,13 +97,13 @@
     m_leaving = true;
     const auto removed = co_await m_store.remove(std::string{proxies_table}, m_settings.name);
     if (!removed) {
-        // The others drop a silent proxy by themselves after a while.
+        // The other proxies remove a silent proxy by themselves after a while.
         log_event(event::store_lost, "table=proxies reason=\"" + removed.error().message + "\"");
     }
 }
 
-/// One line for what happened to all of them: when many proxies start together,
-/// a line for each would be written by each.
+/// Logs one line for all of them: when many proxies start together, each would otherwise log a line
+/// for every other one.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::log_members(event what, const std::vector<std::string>& names,
                                                     std::string_view suffix) {
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -1,21 +1,20 @@
 #pragma once
 
-// Joining the other proxies and leaving them; who shares connections.
+// Joining and leaving the cluster, and publishing the proxies that share the connections.
 
 namespace cornellever::cluster {
 
-/// Makes this proxy known to those that start later, and learns of those that
-/// started before.
+/// Registers this proxy in the store and discovers the proxies registered before.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::register_self() {
     constexpr std::chrono::milliseconds pause{400};
     const std::string table{proxies_table};
     const auto address = own_row();
     bool registered = false;
-    // Whoever reads the table after this proxy's row is in it finds this one,
-    // and this one finds those whose rows were there before: no two miss each
-    // other. After a restart the row is there already, and one reading will do;
-    // 195 rows written at once would take the store 0.8 s at 250 a second.
+    // A proxy that reads the table after this one's row was written finds this one, and this one
+    // reads the rows that were there before: no two miss each other. After a restart the row exists
+    // already, and reading the table once is enough; 195 rows written at once would take the store
+    // 0.8 s at 250 writes a second.
     bool in_table = !m_settings.first_start;
     bool added = false;
     while (!registered) {
@@ -45,15 +44,15 @@
     send_heartbeats();
 }
 
-/// Where the others reach this proxy.
+/// The address at which the other proxies reach this one, and its data centre.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 std::string control<Store, Orders, Connector>::own_row() const {
     return m_settings.heartbeats.address().to_string() + ":" + std::to_string(m_settings.heartbeats.port()) + " " +
            m_settings.data_center;
 }
 
-/// Writes this proxy's row once more, spread over the time in which all proxies
-/// do so: a proxy that starts later learns of the others from their rows.
+/// Writes this proxy's row again after a random delay, because all proxies do so at the same time.
+/// Proxies that start later discover the others from these rows.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::rewrite_own_row() {
     std::uniform_int_distribution<long long> wait{0, rewrite_spread.count()};
@@ -90,8 +89,8 @@
     }
 }
 
-/// The first proxy of a deployment gives it an id. Whose row it became is read
-/// back: another may have been faster, or the answer was lost.
+/// Creates the id of the deployment; only the first proxy succeeds. The row is read back, because
+/// another proxy may have been faster or the response may have been lost.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::create_cluster_id() {
     const std::string table{proxies_table};
@@ -107,15 +106,15 @@
         m_cluster = cluster_id(row->value);
         co_return;
     }
-    // Without an id all messages count, as they do from proxies that have none.
+    // Without an id, messages of all deployments are accepted, as are messages of proxies that have
+    // none.
     log_event(event::store_lost, "table=" + table + " reason=cluster_id");
 }
 
-/// Each proxy that is known learns of this one at once, and not only as it
-/// happens to be asked: whose connections count has to be the same for all. No
-/// answers are wanted: 195 proxies that start together would send each other
-/// 37,800 questions and as many answers, while callers come back. Those that
-/// were in the table before are known to all and greet nobody.
+/// Announces this proxy to all known peers at once instead of when they next happen to be asked,
+/// because all proxies must agree on who shares the connections. Greetings are not answered: 195
+/// proxies that start together would exchange 37,800 questions and as many answers while callers
+/// reconnect. Proxies that were in the table already are known to all and send no greeting.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::send_greetings() {
     send(build_message(peer_message::kind::greeting), all_peers());
--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -7,7 +7,7 @@
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 peer_message control<Store, Orders, Connector>::build_message(peer_message::kind what) const {
     const auto now = boot_clock::now();
-    // Rounded up: what is proved by an age must not look younger than it is.
+    // Rounded up, so that confirmations never look more recent than they are.
     const auto age = [now](time_point at) { return std::chrono::ceil<std::chrono::milliseconds>(now - at); };
     const auto age_of = [&](cached_table table) -> std::optional<std::chrono::milliseconds> {
         const auto at = m_freshness.at(index_of(table)).confirmed_current_at();
@@ -48,8 +48,8 @@
 void control<Store, Orders, Connector>::send(const peer_message& message, std::span<const asio::ip::udp::endpoint> to) {
     const auto bytes = encode(message);
     for (const auto& where : to) {
-        // Heartbeats are lost now and then anyway; a send that would block or
-        // fails is one of these.
+        // Heartbeats may be lost anyway, so a send that fails or would block is treated as a lost
+        // one.
         boost::system::error_code ignored;
         m_socket.send_to(asio::buffer(bytes), where, 0, ignored);
     }
@@ -61,8 +61,8 @@
     for (const auto& [service, seen] : m_observations) {
         used.insert(service);
     }
-    // With many proxies each asks a few, so that the work of one does not grow
-    // with their number.
+    // In a large cluster each proxy asks only a few, so that its work does not grow with the
+    // cluster.
     auto peers = m_members.select_targets(used, owners_of(used), m_settings.data_center, max_service_peers_asked,
                                           boot_clock::now(), m_random);
     if (peers.service_peers.empty() && peers.gossip_peers.empty()) {
@@ -72,10 +72,10 @@
     send_questions(peers);
 }
 
-/// A primary that others see is not lost, and they have to be asked from the
-/// start: a proxy that waited to hear of them by chance knew one or two of six
-/// when a partition came 3 s after the first session, and had a replica
-/// promoted while the others went on writing at the primary.
+/// The proxies that hold connections to these services. A primary that others reach is not lost, so
+/// they have to be asked from the start. A proxy that discovered them only by chance knew one or
+/// two of six when a network partition came 3 s after the first session, and had a replica promoted
+/// while the others went on writing at the primary.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 std::set<std::string, std::less<>>
 control<Store, Orders, Connector>::owners_of(const std::set<std::string, std::less<>>& services) const {
@@ -99,8 +99,8 @@
     auto message = build_message(peer_message::kind::question);
     message.nonce = ++m_last_nonce;
     if (m_members.proxy_count() > small_cluster_size) {
-        // Whoever shares a service asks as well, and hears it in the answer: the
-        // same in the question would be paid for twice.
+        // Peers that use the same services ask this proxy too and get its reports in the answers;
+        // sending them in the question as well would cost bytes twice.
         message.has_reports = false;
         message.primaries.clear();
     }
@@ -154,8 +154,8 @@
         if (question == m_questions.end()) {
             return;
         }
-        // An answer may have been under way for long; what it says was true
-        // when the question was sent, or later.
+        // An answer may have been delayed in the network, but its contents were valid when the
+        // question was sent or later.
         ages_as_of = question->second.sent_at;
     }
     if (m_members.record_message(message, from, now, ages_as_of)) {
--- a/src/cornellever/cluster/control_primaries.ipp
+++ b/src/cornellever/cluster/control_primaries.ipp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Judging and replacing the primaries of services.
+// Failure detection for the services' primaries, and their replacement.
 
 namespace cornellever::cluster {
 
@@ -61,7 +61,7 @@
     if (!m_store_reachable()) {
         return promotion_delay_step * (max_promotion_delay_steps + 2);
     }
-    // Those that use the service judge its primary, each in its turn.
+    // The proxies that use the service judge its primary, ordered by name.
     std::ptrdiff_t position = 0;
     for (const auto& name : m_members.eligible(boot_clock::now())) {
         const auto found = m_members.peers().find(name);
@@ -88,8 +88,7 @@
     }
 }
 
-/// Decides whether a service's primary is to be replaced, and whether by this
-/// proxy now.
+/// Decides whether a service's primary has to be replaced, and whether this proxy does it now.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::check_primary(const std::string& service,
                                                       std::span<const routing::backend_server* const> servers,
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -1,14 +1,13 @@
 #pragma once
 
-// Keeping up with the tables of the metadata store, by few readers and peers.
+// Keeping the copies of the store's tables current, through a few polling proxies and the peers.
 
 namespace cornellever::cluster {
 
-/// The proxies among which the work of waiting at the store is shared out, this
-/// one where it takes part. One that was just read of in the table counts until
-/// it could have been heard: after a start of all proxies each would take
-/// itself for the only one. While the store answers nobody, all that are alive
-/// share the work of asking again.
+/// The proxies that share the work of polling the store. A proxy that was just read from the table
+/// counts until it could have been heard of; otherwise, after a start of all proxies, each would
+/// regard itself as the only one. While the store answers none of them, all that are alive share
+/// the work of retrying.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 std::vector<std::string> control<Store, Orders, Connector>::watch_candidates(time_point now) const {
     std::vector<std::string> eligible;
@@ -32,7 +31,7 @@
     const auto& freshness = m_freshness.at(index_of(what));
     const auto now = boot_clock::now();
     const auto others = watch_candidates(now);
-    // Turned away by a store that answers others, it leaves the work to them.
+    // If the store refuses this proxy but answers others, those do the polling.
     const bool relies_on_peers = !m_listed || (!m_store_reachable() && !others.empty() &&
                                                std::ranges::any_of(others, [&](const std::string& name) {
                                                    return m_members.peers().find(name)->second.store_reachable;
@@ -47,8 +46,8 @@
     return out;
 }
 
-/// Takes how current a peer's copies are. Only answers count: they were given
-/// after the question, however long they were under way.
+/// Applies the ages of a peer's copies. Only answers count: they were given after the question was
+/// sent, however long they took to arrive.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::apply_table_ages(const peer_message& message, time_point ages_as_of) {
     const auto note_peer_version = [&](cached_table what, std::uint64_t version,
@@ -63,17 +62,17 @@
     publish_confirmation();
 }
 
-/// Whether the lease on the configuration is about to end, or has: requests with
-/// a key are refused until somebody says that the copy is the newest.
+/// Whether the configuration lease has expired or is about to. Without it, requests with a key are
+/// refused until the configuration is confirmed current.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 bool control<Store, Orders, Connector>::confirmation_overdue(time_point now) const {
     const auto at = m_freshness.at(index_of(cached_table::configuration)).confirmed_current_at();
     return m_settings.confirmation_due && at != time_point{} && now - at > *m_settings.confirmation_due;
 }
 
-/// Tells the traffic side how far it may rely on its configuration. It comes
-/// behind the configuration itself, so that a proof never counts for an older
-/// copy than the one it was given for.
+/// Passes the time for which the configuration is confirmed current to the traffic side. It follows
+/// the configuration itself, so that a confirmation never applies to an older copy than the one it
+/// was given for.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::publish_confirmation() {
     const auto at = m_freshness.at(index_of(cached_table::configuration)).confirmed_current_at();
@@ -83,9 +82,9 @@
     }
 }
 
-/// Whether this proxy is one of the two of its data centre that fetch from
-/// another one what is new. The others get it from these: a configuration of
-/// many databases is 330 KB, and bytes between data centres are paid for.
+/// Whether this proxy is one of the two of its data centre that fetch new versions from another
+/// one. The others get them from these two: a configuration of many databases is 330 KB, and bytes
+/// between data centres are paid for.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 bool control<Store, Orders, Connector>::fetches_across_data_centers(time_point now) const {
     constexpr std::size_t fetching = 2;
@@ -98,9 +97,9 @@
     return watch_rank(m_settings.data_center, m_settings.name, same_data_center) < fetching;
 }
 
-/// Notices when a peer has a newer configuration or registry. The feed of the
-/// store brings both in a few milliseconds; where it does not, its connection
-/// has gone silent or the store turns this proxy away, and the peer is asked.
+/// Detects that a peer has a newer configuration or registry. The store's change feed delivers both
+/// within a few milliseconds; if it does not, its connection has failed or the store refuses this
+/// proxy, and the peer is asked.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::compare_versions(const peer_message& message,
                                                          const asio::ip::udp::endpoint& from, time_point now) {
@@ -127,8 +126,8 @@
     }
 }
 
-/// What a peer that is behind asked for. `busy` while as many as the link may
-/// carry are on their way: another proxy has it soon, or has it by now.
+/// The reply to a peer's snapshot request. Error: `busy` while the maximum number of uploads is in
+/// progress; the peer can get the snapshot soon from another proxy.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 result<Json::Value> control<Store, Orders, Connector>::snapshot_for(known_versions known, rpc::connection& to) {
     if (m_config.version > known.config) {
@@ -147,8 +146,8 @@
     return snapshot_of(m_packed_config, m_packed_registry, known);
 }
 
-/// Takes configuration and servers from a peer that has newer ones: the store
-/// does not answer this proxy, or its feed has not delivered them.
+/// Fetches configuration and registry from a peer that has newer ones, because the store does not
+/// answer this proxy or its feed has not delivered them.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::catch_up(std::string from, asio::ip::address address) {
     rpc::channel link{m_executor, tcp::endpoint{address, m_settings.peers.port()}};
@@ -158,7 +157,7 @@
     auto answer = co_await link.call("snapshot", std::move(params), catch_up_timeout, catch_up_timeout);
     m_catching_up = false;
     if (!answer) {
-        // The next message of any other that has it will do.
+        // Retried at the next message of any peer that has the newer version.
         std::uniform_int_distribution<long long> pause{catch_up_pause.count(), 2 * catch_up_pause.count()};
         m_catch_up_after = boot_clock::now() + std::chrono::milliseconds{pause(m_random)};
         log_event(event::config_fetch_failed, "peer=" + from + " version=" + std::to_string(m_config.version) +
--- a/src/cornellever/cluster/peer_message.cpp
+++ b/src/cornellever/cluster/peer_message.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// First word of every message; another version gets another word.
+/// First field of every message; identifies the protocol version.
 constexpr std::string_view magic = "cl4";
 
-/// Stands before the list of other proxies; no service has this name.
+/// Precedes the list of live proxies; no service has this name.
 constexpr std::string_view alive_peers_mark = "/";
 
-/// Stands in place of the reports where the message has none.
+/// Takes the place of the reports in a message that carries none.
 constexpr std::string_view no_reports = "~";
 
 /// Stands for an age that the sender does not know.
 constexpr std::string_view no_age = "-";
 
-/// Flags of a report: the furthest position follows, or is that of the sample.
+/// Flags of a report: the highest position follows, or equals that of the sample.
 constexpr char furthest_given = 'f';
 constexpr char furthest_as_sample = 'e';
 
@@ -55,8 +55,8 @@
     return std::nullopt;
 }
 
-/// Words of a datagram, each read once; `good` turns false at the first that
-/// is missing or not what it should be.
+/// Reads the fields of a datagram in order; `good` becomes false at the first field that is missing
+/// or malformed.
 class field_reader {
 public:
     explicit field_reader(std::string_view rest) : m_rest{rest} {}
@@ -69,7 +69,7 @@
         return out;
     }
 
-    /// The next word, left unread.
+    /// The next field, without consuming it.
     [[nodiscard]] std::string_view next() const { return m_rest.substr(0, m_rest.find(' ')); }
 
     std::uint64_t number() {
@@ -88,7 +88,7 @@
         return std::chrono::milliseconds{static_cast<long long>(m_good ? ms : 0)};
     }
 
-    /// An age, or the word for none.
+    /// An age, or the mark for an unknown one.
     std::optional<std::chrono::milliseconds> optional_age() {
         if (next() != no_age) {
             return age();
--- a/src/cornellever/cluster/primary_judge.cpp
+++ b/src/cornellever/cluster/primary_judge.cpp
@@ -8,24 +8,24 @@
 
 using std::chrono::milliseconds;
 
-/// A refusal is the VM's own word that no process listens. It is waited on
-/// for a moment only, because a connection's end may come before it.
+/// A refusal means that the VM itself answered that no process listens. The short wait is for the
+/// case that a connection's end arrives before the refusal.
 constexpr milliseconds refused_timeout{150};
 
-/// Silence may also be a lost packet, which TCP repeats after 200 ms, or a
-/// pause of this proxy's own VM.
+/// Silence may also be a lost packet, which TCP retransmits after 200 ms, or a pause of this
+/// proxy's own VM.
 constexpr milliseconds silence_timeout{500};
 
-/// A peer that heard the primary within this sees it now: proxies ask an
+/// A peer that got an answer from the primary within this time still reaches it: proxies query an
 /// otherwise idle primary five times a second.
 constexpr milliseconds recent_answer{450};
 
-/// A proxy without any live peer can't tell whether it is itself cut off, and
-/// waits for others, who would see the same, to go first.
+/// A proxy without any live peer cannot tell whether it is cut off itself, and lets others act
+/// first, which would observe the same.
 constexpr milliseconds isolated_timeout{2500};
 
-/// Three heartbeats of a server are missed before its entry goes; after the
-/// store's own outage entries are back within 2 s.
+/// A server misses three heartbeats before its entry disappears. After an outage of the store
+/// itself, entries are back within 2 s.
 constexpr milliseconds missing_and_unreachable{300};
 constexpr milliseconds missing_limit{2600};
 
--- a/src/cornellever/cluster/snapshot.cpp
+++ b/src/cornellever/cluster/snapshot.cpp
@@ -30,13 +30,13 @@
     out.database = text_field(from, "database");
     out.service = text_field(from, "service");
     const auto reads = uint_field(from, "reads");
-    // An unknown kind is served as the strictest.
+    // An unknown consistency level is treated as the strictest.
     out.reads = reads <= 2 ? static_cast<routing::consistency>(reads) : routing::consistency::primary;
     out.statement_timeout = ms_field(from, "timeout_ms");
     out.target_latency = ms_field(from, "target_ms");
     out.max_staleness = ms_field(from, "staleness_ms");
     out.priority = static_cast<int>(rpc::whole_field(from, "priority", routing::lowest_priority).value_or(0));
-    // Without word of it a database is not open to everybody.
+    // Unless stated otherwise, a database requires a key.
     out.keyless = from["keyless"].isBool() && from["keyless"].asBool();
     return out;
 }
@@ -61,8 +61,8 @@
     return out;
 }
 
-/// Keys travel as their digests. One that stands for two accounts is left out,
-/// as it stands for none.
+/// Keys are transferred as digests. A digest that belongs to two accounts is left out, because it
+/// is valid for neither.
 result<accounts::directory> accounts_from(const Json::Value& items, const Json::Value& keys) {
     accounts::directory out;
     for (const auto& item : items) {
@@ -107,7 +107,7 @@
     return out;
 }
 
-/// A part of a snapshot is longer than this only by mistake.
+/// No valid part of a snapshot is longer than this.
 constexpr std::size_t longest_part = std::size_t{64} * 1024 * 1024;
 
 Json::Value details_of(const routing::configuration& config) {
@@ -138,7 +138,7 @@
     return out;
 }
 
-/// Takes what `details_of` told.
+/// Reads what `details_of` wrote.
 result<void> read_details(const Json::Value& from, routing::configuration& out) {
     if (!from.isObject() || !from["routes"].isArray() || !from["services"].isArray() || !from["accounts"].isArray() ||
         !from["keys"].isArray()) {
@@ -198,7 +198,7 @@
     return {uint_field(from, "version"), {.bytes = uint_field(from, "bytes"), .base64 = text_field(from, "packed")}};
 }
 
-/// Takes what the part called `name` holds.
+/// Unpacks and reads the part called `name`.
 template <typename Content>
 result<void> read_part(const packed_part& part, std::string_view name, Content& out) {
     const auto text = unpack(part.text, longest_part);
--- a/tests/unit/cluster.cpp
+++ b/tests/unit/cluster.cpp
@@ -36,7 +36,7 @@
     return cluster::judge(evidence);
 }
 
-/// A store whose answers a test lines up.
+/// A store that gives the replies queued by a test.
 struct scripted_store {
     std::deque<result<cluster::store_rows>> lists;
     std::deque<result<cluster::store_rows>> feeds;
@@ -67,30 +67,30 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(judging_a_primary)
+BOOST_AUTO_TEST_SUITE(primary_failure_detection)
 
-BOOST_AUTO_TEST_CASE(one_that_answers_is_fine) {
+BOOST_AUTO_TEST_CASE(a_primary_that_answers_is_fine) {
     BOOST_TEST((judge(seen, {seen, seen}) == primary_verdict::fine));
 }
 
-// Awards made in the last seconds vanish: the primary was well, one proxy
-// could not reach it and had a replica promoted that lagged behind.
-BOOST_AUTO_TEST_CASE(one_that_only_this_proxy_cannot_reach_is_not_replaced) {
+// Guards against promoting a lagging replica because one proxy cannot reach a healthy primary,
+// which loses the commits of the last seconds.
+BOOST_AUTO_TEST_CASE(a_primary_unreachable_only_from_this_proxy_is_not_replaced) {
     BOOST_TEST((judge(silent, {seen, silent}) == primary_verdict::fine));
     BOOST_TEST((judge(refused, {seen, refused}) == primary_verdict::fine));
 }
 
-BOOST_AUTO_TEST_CASE(one_that_nobody_reaches_is_lost) {
+BOOST_AUTO_TEST_CASE(a_primary_unreachable_from_all_proxies_is_lost) {
     BOOST_TEST((judge(silent, {silent, silent}) == primary_verdict::lost));
     BOOST_TEST((judge(refused, {refused, silent}) == primary_verdict::lost));
 }
 
-BOOST_AUTO_TEST_CASE(a_moment_of_silence_is_no_evidence) {
+BOOST_AUTO_TEST_CASE(a_short_silence_is_no_evidence) {
     BOOST_TEST((judge(primary_view{300ms, true, false}, {silent, silent}) == primary_verdict::fine));
 }
 
-// A proxy that is cut off from all others and from the primary would otherwise
-// order a promotion that nobody else sees a need for.
+// Guards against a promotion by a proxy that is cut off from the primary and from all other
+// proxies.
 BOOST_AUTO_TEST_CASE(a_proxy_without_live_peers_waits_longer) {
     BOOST_TEST((judge(silent, {}) == primary_verdict::fine));
     BOOST_TEST((judge(primary_view{2600ms, true, false}, {}) == primary_verdict::lost));
@@ -98,22 +98,22 @@
 }
 
 // Guards against an empty primary that is kept because most proxies know no earlier position of it.
-BOOST_AUTO_TEST_CASE(one_that_lost_its_log_is_lost_also_where_others_see_it) {
+BOOST_AUTO_TEST_CASE(a_primary_that_lost_its_log_is_lost_even_if_others_reach_it) {
     const primary_view without_log{10ms, true, true, true};
     BOOST_TEST((judge(without_log, {seen, seen, seen}) == primary_verdict::lost));
     BOOST_TEST((judge(seen, {without_log, seen}) == primary_verdict::fine));
 }
 
-BOOST_AUTO_TEST_CASE(one_that_drains_is_to_be_replaced_while_it_serves) {
+BOOST_AUTO_TEST_CASE(a_draining_primary_is_replaced_while_it_serves) {
     primary_evidence evidence;
     evidence.own = seen;
     evidence.entry.draining = true;
     BOOST_TEST((cluster::judge(evidence) == primary_verdict::leaving));
 }
 
-// Nobody can write although the primary is well: its entry went because it
-// could not reach the store for some seconds, and it was dropped for that.
-BOOST_AUTO_TEST_CASE(one_whose_entry_went_is_replaced_only_after_a_while) {
+// Guards against dropping a healthy primary whose entry expired because it could not reach the
+// store for some seconds: nobody could write.
+BOOST_AUTO_TEST_CASE(a_primary_without_entry_is_replaced_only_after_a_grace_period) {
     primary_evidence evidence;
     evidence.own = seen;
     evidence.entry.missing_for = 1000ms;
@@ -129,7 +129,7 @@
 
 BOOST_AUTO_TEST_SUITE(heartbeats)
 
-BOOST_AUTO_TEST_CASE(a_message_is_read_as_it_was_written) {
+BOOST_AUTO_TEST_CASE(a_message_round_trips) {
     cluster::peer_message message{.what = cluster::peer_message::kind::answer,
                                   .nonce = 5,
                                   .cluster = 77,
@@ -178,9 +178,9 @@
     BOOST_TEST((back->alive_peers[0].age == 40ms));
 }
 
-// A primary is judged lost by proxies that hear it: a question without reports
-// was taken for the word that its sender sees no primary.
-BOOST_AUTO_TEST_CASE(a_question_without_reports_leaves_what_was_reported) {
+// Guards against judging a primary lost although proxies reach it, because a question without
+// reports was read as a report that its sender observes no primary.
+BOOST_AUTO_TEST_CASE(a_question_without_reports_keeps_earlier_reports) {
     using namespace cornellever::cluster;
     membership members{"b"};
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
@@ -195,7 +195,7 @@
     BOOST_TEST(members.peers().at("a").primaries.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(anything_else_is_not_a_message) {
+BOOST_AUTO_TEST_CASE(malformed_messages_are_rejected) {
     for (const auto* bytes :
          {"", "cl4", "cl2 q 1 7 a d 1 1 1 - - 1", "cl4 x 1 7 a d 1 1 1 - - 1", "cl4 q one 7 a d 1 1 1 - - 1",
           "cl4 q 1 seven a d 1 1 1 - - 1", "cl4 q 1 7 a d 1 1 1 1", "cl4 q 1 7 a d 1 1 1 soon - 1",
@@ -207,7 +207,7 @@
     BOOST_TEST(cluster::decode("cl4 q 1 7 a d 1 1 1 - 5 1").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_proxy_is_known_from_its_heartbeat_and_forgotten_when_silent) {
+BOOST_AUTO_TEST_CASE(a_proxy_is_discovered_by_heartbeat_and_removed_when_unresponsive) {
     using namespace cornellever::cluster;
     membership members{"b"};
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
@@ -218,7 +218,7 @@
     BOOST_TEST(members.record_message(message, where, start, start));
     BOOST_TEST(!members.record_message(message, where, start + 100ms, start));
     BOOST_TEST((members.eligible(start + 200ms) == std::vector<std::string>{"a", "b"}));
-    // One that the store does not answer can't take its turn at a promotion.
+    // A proxy that the store does not answer cannot claim a promotion.
     message.store_reachable = false;
     members.record_message(message, where, start + 300ms, start);
     BOOST_TEST(members.eligible(start + 400ms).size() == 1U);
@@ -228,10 +228,9 @@
     BOOST_TEST(members.proxy_count() == 1U);
 }
 
-// Half of the proxies are taken for dead and come back all the time although
-// nothing is wrong, and connections are shared out anew each time: of 64
-// proxies each talks to any other one only every few seconds.
-BOOST_AUTO_TEST_CASE(a_proxy_is_alive_by_the_word_of_another) {
+// Guards against taking healthy proxies for dead, and redistributing connections each time, in
+// large clusters: of 64 proxies, any two exchange messages only every few seconds.
+BOOST_AUTO_TEST_CASE(a_proxy_is_alive_by_gossip) {
     using namespace cornellever::cluster;
     membership members{"b"};
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
@@ -246,10 +245,10 @@
     BOOST_TEST(members.proxy_count() == 1U);
 }
 
-// Callers' sessions move from owner to owner on a day without any fault: with
-// 195 proxies the word on one reaches another only every few seconds, some
-// words come later than 8 s, and silence alone was taken for death.
-BOOST_AUTO_TEST_CASE(a_proxy_is_dropped_only_after_it_failed_to_answer) {
+// Guards against removing healthy proxies, which moves callers' sessions to other connection
+// owners: with 195 proxies, gossip on one reaches another every few seconds only, and sometimes
+// later than 8 s, so silence alone is no evidence.
+BOOST_AUTO_TEST_CASE(a_proxy_is_removed_only_after_an_unanswered_question) {
     using namespace cornellever::cluster;
     membership members{"self"};
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
@@ -265,8 +264,8 @@
     BOOST_TEST(members.remove_unresponsive(start + 31s + 1ms).size() == 1U);
 }
 
-// As above: whoever was not heard of for 4 s is asked, a few at a time.
-BOOST_AUTO_TEST_CASE(those_of_which_no_word_came_are_asked) {
+// As above: a proxy that nothing was heard of for 4 s is asked directly, a few at a time.
+BOOST_AUTO_TEST_CASE(suspects_are_asked) {
     using namespace cornellever::cluster;
     membership members{"self"};
     std::minstd_rand random{7};
@@ -275,15 +274,15 @@
                                {asio::ip::make_address("10.0.0.1"), static_cast<std::uint16_t>(7000 + i)},
                                start + (i < 5 ? 0s : 4s), start);
     }
-    const auto asked = members.select_targets({}, {}, "here", 12, start + 4s + 500ms, random);
-    BOOST_TEST(std::ranges::count_if(asked.gossip_peers, [](const auto& item) { return item.port() < 7005; }) == 5);
+    const auto targets = members.select_targets({}, {}, "here", 12, start + 4s + 500ms, random);
+    BOOST_TEST(std::ranges::count_if(targets.gossip_peers, [](const auto& item) { return item.port() < 7005; }) == 5);
     const auto all = members.select_targets({}, {}, "here", 12, start + 9s, random);
     BOOST_TEST(all.gossip_peers.size() == 2U + membership::max_suspects_asked);
 }
 
-// A promotion is judged by what a process said that has been replaced since:
-// its datagram was under way while the next process started.
-BOOST_AUTO_TEST_CASE(a_late_message_of_an_earlier_process_does_not_count) {
+// Guards against judging a primary by the reports of a process that has been replaced since: its
+// datagram was still in the network when the next process started.
+BOOST_AUTO_TEST_CASE(a_late_message_of_a_previous_process_is_ignored) {
     using namespace cornellever::cluster;
     membership members{"b"};
     const asio::ip::udp::endpoint where{asio::ip::make_address("10.0.0.1"), 7000};
@@ -296,7 +295,7 @@
     BOOST_TEST(members.peers().at("a").primaries.empty());
 }
 
-BOOST_AUTO_TEST_CASE(those_that_see_the_same_primaries_are_asked_first) {
+BOOST_AUTO_TEST_CASE(peers_that_use_the_same_services_are_asked_first) {
     using namespace cornellever::cluster;
     membership members{"self"};
     std::minstd_rand random{7};
@@ -314,13 +313,13 @@
             members.record_alive({"p" + std::to_string(i), 0ms}, start + 500ms);
         }
     }
-    const auto asked = members.select_targets({"stock"}, {}, "here", 12, start + 500ms, random);
-    BOOST_TEST(std::ranges::count(asked.gossip_peers, silent) == 1);
-    BOOST_TEST(asked.service_peers.size() == 4U);
-    BOOST_TEST(std::ranges::all_of(asked.service_peers, [](const auto& item) { return item.port() < 7004; }));
-    BOOST_TEST(asked.gossip_peers.size() == 3U);
-    BOOST_TEST(std::ranges::count(asked.gossip_peers, near) == 1);
-    // Few enough to ask all of them: none has to speak for another.
+    const auto targets = members.select_targets({"stock"}, {}, "here", 12, start + 500ms, random);
+    BOOST_TEST(std::ranges::count(targets.gossip_peers, silent) == 1);
+    BOOST_TEST(targets.service_peers.size() == 4U);
+    BOOST_TEST(std::ranges::all_of(targets.service_peers, [](const auto& item) { return item.port() < 7004; }));
+    BOOST_TEST(targets.gossip_peers.size() == 3U);
+    BOOST_TEST(std::ranges::count(targets.gossip_peers, near) == 1);
+    // The cluster is small enough to ask all proxies, so no gossip is needed.
     const auto all = members.select_targets({"stock"}, {}, "here", 40, start + 500ms, random);
     BOOST_TEST(all.service_peers.size() == 40U);
     BOOST_TEST(all.gossip_peers.empty());
@@ -328,11 +327,10 @@
     BOOST_TEST(members.sample_alive(6, start + 4s, random).empty());
 }
 
-// Reads miss what was written seconds before: a partition left the primary
-// with some proxies, which went on writing there. The others knew only one or
-// two of these yet, since each had to hear by chance that another uses the same
-// service, agreed that the primary was lost and had a replica promoted.
-BOOST_AUTO_TEST_CASE(owners_of_the_same_servers_are_asked_before_they_said_anything) {
+// Guards against stale reads after a network partition that leaves the primary with some proxies,
+// which go on writing there. If the others discovered only by chance who uses the same service,
+// they knew too few of those proxies, agreed that the primary was lost and promoted a replica.
+BOOST_AUTO_TEST_CASE(connection_owners_are_asked_before_their_first_report) {
     using namespace cornellever::cluster;
     membership members{"self"};
     std::minstd_rand random{7};
@@ -340,13 +338,13 @@
         members.add_peer("p" + std::to_string(i), "there",
                          {asio::ip::make_address("10.0.0.1"), static_cast<std::uint16_t>(7000 + i)}, start);
     }
-    const auto asked = members.select_targets({"stock"}, {"p1", "p2", "p3", "self"}, "here", 12, start, random);
-    BOOST_TEST(asked.service_peers.size() == 3U);
-    BOOST_TEST(std::ranges::all_of(asked.service_peers, [](const auto& item) { return item.port() < 7004; }));
+    const auto targets = members.select_targets({"stock"}, {"p1", "p2", "p3", "self"}, "here", 12, start, random);
+    BOOST_TEST(targets.service_peers.size() == 3U);
+    BOOST_TEST(std::ranges::all_of(targets.service_peers, [](const auto& item) { return item.port() < 7004; }));
 }
 
-// Guards against sending to every proxy that is behind what it has already.
-BOOST_AUTO_TEST_CASE(a_snapshot_leaves_out_what_the_other_has) {
+// Guards against sending a proxy what it already has.
+BOOST_AUTO_TEST_CASE(a_snapshot_leaves_out_what_the_requester_has) {
     const auto config = cluster::pack(test::three_databases(4));
     auto servers = test::three_servers();
     for (auto& [id, server] : servers.servers) {
@@ -362,12 +360,12 @@
     BOOST_TEST(newer_servers.config.version == 0U);
     BOOST_TEST(newer_servers.servers.version == 9U);
     BOOST_TEST(newer_servers.servers.servers.size() == 3U);
-    auto spoilt = cluster::snapshot_of(config, listed, {});
-    spoilt["registry"]["packed"] = "x";
-    BOOST_TEST(!cluster::snapshot_from_json(spoilt));
+    auto corrupted = cluster::snapshot_of(config, listed, {});
+    corrupted["registry"]["packed"] = "x";
+    BOOST_TEST(!cluster::snapshot_from_json(corrupted));
 }
 
-BOOST_AUTO_TEST_CASE(a_snapshot_is_read_as_it_was_written) {
+BOOST_AUTO_TEST_CASE(a_snapshot_round_trips) {
     const auto config = test::three_databases(4);
     auto servers = test::three_servers();
     servers.servers["p"].draining = true;
@@ -394,9 +392,9 @@
 
 BOOST_AUTO_TEST_SUITE(following_the_store)
 
-// No request is served for seconds after an outage of the store although every
-// server is well: their entries had expired meanwhile.
-BOOST_AUTO_TEST_CASE(servers_whose_entry_went_are_kept_for_a_while) {
+// Guards against refusing all requests for seconds after an outage of the store, because the
+// entries of healthy servers expired meanwhile.
+BOOST_AUTO_TEST_CASE(servers_whose_entry_expired_are_kept_for_a_grace_period) {
     cluster::registry_cache cache;
     cache.apply(test::three_servers(), start);
     auto fewer = test::three_servers();
@@ -413,7 +411,7 @@
     BOOST_TEST(!cache.effective().servers.contains("r1"));
 }
 
-BOOST_AUTO_TEST_CASE(a_server_that_drained_and_went_is_gone_at_once) {
+BOOST_AUTO_TEST_CASE(a_drained_server_is_removed_at_once) {
     cluster::registry_cache cache;
     auto servers = test::three_servers();
     servers.servers["r1"].draining = true;
@@ -423,8 +421,8 @@
     BOOST_TEST(!cache.effective().servers.contains("r1"));
 }
 
-// Guards against judging a service by servers that are gone, or not by those that came.
-BOOST_AUTO_TEST_CASE(servers_are_listed_by_service) {
+// Guards against judging a service by servers that are gone, or without those that were added.
+BOOST_AUTO_TEST_CASE(servers_are_grouped_by_service) {
     routing::registry registered;
     registered.version = 1;
     registered.servers.emplace("a1", routing::backend_server{.id = "a1", .service = "a"});
@@ -445,8 +443,8 @@
     BOOST_TEST(cache.by_service().at("a").front()->id == "a1");
 }
 
-// A proxy keeps a configuration that was replaced long ago: the store dropped
-// the history from which it would have learned of the change.
+// Guards against keeping a superseded configuration because the store discarded the change history
+// that contained the newer one.
 BOOST_AUTO_TEST_CASE(the_whole_table_is_read_again_when_its_history_is_gone) {
     event_loop io;
     scripted_store store{.io = io};
@@ -475,9 +473,9 @@
     io.abandon_pending();
 }
 
-// With 64 proxies each change of one server took 64 calls to the store, which
-// answers a limited number a second from all together.
-BOOST_AUTO_TEST_CASE(few_of_many_proxies_wait_for_changes) {
+// Guards against too many store calls: with 64 proxies that all polled, each change of one server
+// took 64 calls, and the store answers a limited number a second from all of them.
+BOOST_AUTO_TEST_CASE(few_proxies_of_a_large_cluster_poll_the_store) {
     using namespace cornellever::cluster;
     constexpr watch_policy plan{.first = 1s, .small_cluster = 8s, .large_cluster = 12s, .max_readers = 4};
     BOOST_TEST((watch_mode_for(plan, 0, 64).polls_store && watch_mode_for(plan, 0, 64).confirm_within == 1s));
@@ -492,18 +490,18 @@
     BOOST_TEST(ranks.size() == eligible.size());
 }
 
-// Servers stay unknown to a proxy whose peers all died: it read the table once
-// and relied on them for changes.
-BOOST_AUTO_TEST_CASE(a_proxy_that_relies_on_peers_reads_the_table_when_its_turn_comes) {
+// Guards against missing server changes once all peers are gone: the proxy read the table once and
+// relied on them for changes.
+BOOST_AUTO_TEST_CASE(a_proxy_that_relied_on_peers_reads_the_table_once_it_has_to_poll) {
     event_loop io;
     scripted_store store{.io = io};
     store.lists.push_back(cluster::store_rows{{{"a", "1", 3, false}}, 8, 0ms});
     store.feeds.push_back(cluster::store_rows{{{"a", "2", 9, false}}, 9, 0ms});
-    bool turn = false;
+    bool has_to_poll = false;
     std::vector<std::uint64_t> versions;
     cluster::table_follower follower{store, "t",
                                      [&] {
-                                         return cluster::watch_mode{std::exchange(turn, true), 1h};
+                                         return cluster::watch_mode{std::exchange(has_to_poll, true), 1h};
                                      },
                                      [&](const cluster::table_rows&, std::uint64_t version) {
                                          versions.push_back(version);
--- a/tests/unit/store_watch.cpp
+++ b/tests/unit/store_watch.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// A store with one row that can be down, and remembers when it was asked.
-struct small_store {
+/// A store with one row. It can be down, and it records when it was queried.
+struct fake_store {
     bool down{false};
     std::uint64_t version{5};
-    std::vector<boot_clock::time_point> asked;
+    std::vector<boot_clock::time_point> query_times;
 
     asio::awaitable<result<cluster::store_rows>> list(std::string) { return answer(); }
     asio::awaitable<result<cluster::store_rows>> changes(std::string, std::uint64_t after,
@@ -30,7 +30,7 @@
         co_return out;
     }
     asio::awaitable<result<cluster::store_rows>> answer() {
-        asked.push_back(boot_clock::now());
+        query_times.push_back(boot_clock::now());
         if (down) {
             co_return fail(errc::unavailable, "down");
         }
@@ -49,19 +49,19 @@
     asio::awaitable<result<std::uint64_t>> remove(std::string, std::string) { co_return 0; }
 };
 
-/// A follower of that store, and what its peers say.
-struct followed_table {
-    followed_table() { asio::co_spawn(io, follower.run(), asio::detached); }
+/// A follower of that store, and the state reported by its peers.
+struct follower_fixture {
+    follower_fixture() { asio::co_spawn(io, follower.run(), asio::detached); }
 
-    ~followed_table() { io.abandon_pending(); }
+    ~follower_fixture() { io.abandon_pending(); }
 
-    void play(std::chrono::milliseconds span) {
+    void run_for_span(std::chrono::milliseconds span) {
         io.restart();
         io.run_for(span);
     }
 
-    /// Peers say again and again that the copy is current.
-    asio::awaitable<void> keep_current(std::chrono::milliseconds span) {
+    /// Peers keep confirming the copy as current.
+    asio::awaitable<void> keep_confirming(std::chrono::milliseconds span) {
         const auto until = boot_clock::now() + span;
         while (boot_clock::now() < until) {
             mode.confirmed_current_at = boot_clock::now();
@@ -70,101 +70,102 @@
     }
 
     event_loop io;
-    small_store store;
+    fake_store store;
     cluster::watch_mode mode{.polls_store = false, .confirm_within = 300ms};
     std::vector<std::uint64_t> versions;
     /// Whether the rows can be decoded.
-    bool takes{true};
+    bool accepts_rows{true};
     boot_clock::time_point confirmed_current_at{};
-    cluster::table_follower<small_store> follower{store, "t", [this] { return mode; },
-                                                  [this](const cluster::table_rows&, std::uint64_t version) {
-                                                      versions.push_back(version);
-                                                      return takes;
-                                                  },
-                                                  [this](boot_clock::time_point at) { confirmed_current_at = at; }};
+    cluster::table_follower<fake_store> follower{store, "t", [this] { return mode; },
+                                                 [this](const cluster::table_rows&, std::uint64_t version) {
+                                                     versions.push_back(version);
+                                                     return accepts_rows;
+                                                 },
+                                                 [this](boot_clock::time_point at) { confirmed_current_at = at; }};
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(watching_the_store)
 
-// Each of hundreds of proxies waits at the store for changes that are rare: all
-// of them together take most of the calls that the store is paid for.
-BOOST_AUTO_TEST_CASE(a_proxy_whose_peers_keep_it_current_asks_the_store_nothing) {
-    followed_table table;
-    asio::co_spawn(table.io, table.keep_current(1200ms), asio::detached);
-    table.play(1000ms);
-    BOOST_TEST(table.store.asked.size() == 1U);
+// Guards against wasting store calls: if each of hundreds of proxies polls for rare changes, this
+// makes up most of the calls that are paid for.
+BOOST_AUTO_TEST_CASE(a_proxy_kept_current_by_peers_does_not_query_the_store) {
+    follower_fixture table;
+    asio::co_spawn(table.io, table.keep_confirming(1200ms), asio::detached);
+    table.run_for_span(1000ms);
+    BOOST_TEST(table.store.query_times.size() == 1U);
     BOOST_TEST((table.versions == std::vector<std::uint64_t>{5}));
 }
 
-// An operator's change is not in force at a proxy: all who waited for it at the
-// store were killed at the moment of the change, and nobody could tell.
-BOOST_AUTO_TEST_CASE(a_proxy_that_hears_from_nobody_asks_by_itself) {
-    followed_table table;
-    asio::co_spawn(table.io, table.keep_current(200ms), asio::detached);
-    table.play(250ms);
+// Guards against missing a configuration change: all proxies that polled the store were killed at
+// the moment of the change, so no peer could report it.
+BOOST_AUTO_TEST_CASE(a_proxy_without_confirmations_queries_the_store) {
+    follower_fixture table;
+    asio::co_spawn(table.io, table.keep_confirming(200ms), asio::detached);
+    table.run_for_span(250ms);
     table.store.version = 6;
-    table.play(600ms);
+    table.run_for_span(600ms);
     BOOST_TEST((table.versions == std::vector<std::uint64_t>{5, 6}));
 }
 
-// As above, but a peer has the change already: the bound of the silence is not
-// waited out.
-BOOST_AUTO_TEST_CASE(a_proxy_whose_peer_is_ahead_asks_at_once) {
-    followed_table table;
+// As above, but a peer has the change already, so the proxy does not wait until the last
+// confirmation is too old.
+BOOST_AUTO_TEST_CASE(a_proxy_whose_peer_is_ahead_queries_the_store_at_once) {
+    follower_fixture table;
     table.mode.confirm_within = 10s;
-    table.play(50ms);
+    table.run_for_span(50ms);
     table.store.version = 6;
     table.mode.behind = true;
-    table.play(700ms);
+    table.run_for_span(700ms);
     BOOST_TEST((table.versions == std::vector<std::uint64_t>{5, 6}));
-    // A peer that is mistaken must not make it ask without a pause.
-    table.play(900ms);
-    BOOST_TEST(table.store.asked.size() <= 5U);
+    // A peer that is wrong must not make it query without a pause.
+    table.run_for_span(900ms);
+    BOOST_TEST(table.store.query_times.size() <= 5U);
 }
 
-// The store turns a third of the proxies away for 9 s. Each of them asked twice
-// a second for each table what its peers had told it already.
-BOOST_AUTO_TEST_CASE(a_proxy_that_the_store_turns_away_leaves_it_to_its_peers) {
-    followed_table table;
-    table.play(50ms);
+// Guards against useless retries: a store that refused a third of the proxies for 9 s got two
+// queries a second from each of them for each table, for data that their peers had already given
+// them.
+BOOST_AUTO_TEST_CASE(a_proxy_refused_by_the_store_relies_on_its_peers) {
+    follower_fixture table;
+    table.run_for_span(50ms);
     table.store.down = true;
-    table.play(600ms);
-    asio::co_spawn(table.io, table.keep_current(2500ms), asio::detached);
-    table.play(2000ms);
-    // The first, one when nobody's word was young enough, and one that looked
-    // whether the store had returned when peers' word came again.
-    BOOST_TEST(table.store.asked.size() <= 4U);
+    table.run_for_span(600ms);
+    asio::co_spawn(table.io, table.keep_confirming(2500ms), asio::detached);
+    table.run_for_span(2000ms);
+    // The first query, one when no confirmation was recent enough, and one that checked whether the
+    // store had recovered when peers confirmed the copy again.
+    BOOST_TEST(table.store.query_times.size() <= 4U);
     BOOST_TEST(!table.follower.reachable());
 }
 
-// A promotion waits although the store is back: the proxy whose turn it is has
-// not noticed.
-BOOST_AUTO_TEST_CASE(a_store_that_returned_for_others_is_asked_soon) {
-    followed_table table;
-    table.play(50ms);
+// Guards against a delayed promotion: the store has recovered, but the proxy that should claim the
+// promotion has not noticed.
+BOOST_AUTO_TEST_CASE(a_store_that_recovered_for_others_is_queried_soon) {
+    follower_fixture table;
+    table.run_for_span(50ms);
     table.store.down = true;
-    table.play(900ms);
+    table.run_for_span(900ms);
     BOOST_TEST(!table.follower.reachable());
     table.store.down = false;
-    asio::co_spawn(table.io, table.keep_current(1500ms), asio::detached);
-    table.play(1000ms);
+    asio::co_spawn(table.io, table.keep_confirming(1500ms), asio::detached);
+    table.run_for_span(1000ms);
     BOOST_TEST(table.follower.reachable());
 }
 
-// A proxy that waits for changes vouches for its copy up to the end of the wait,
-// and never for later than it asked.
-BOOST_AUTO_TEST_CASE(an_answer_vouches_for_the_time_that_it_waited) {
-    followed_table table;
+// A long poll confirms the copy up to the end of its wait, but never for a time after it was
+// answered.
+BOOST_AUTO_TEST_CASE(a_long_poll_confirms_the_copy_up_to_its_end) {
+    follower_fixture table;
     table.mode = {.polls_store = true, .confirm_within = 100ms};
     const auto begun = boot_clock::now();
-    table.play(250ms);
+    table.run_for_span(250ms);
     BOOST_TEST((table.confirmed_current_at >= begun + 100ms));
     BOOST_TEST((table.confirmed_current_at <= boot_clock::now()));
 }
 
-BOOST_AUTO_TEST_CASE(an_older_copy_of_a_peer_vouches_for_nothing) {
+BOOST_AUTO_TEST_CASE(an_older_version_at_a_peer_confirms_nothing) {
     cluster::table_freshness freshness;
     const boot_clock::time_point at{1h};
     freshness.note_peer_version(6, 6, at, at);
@@ -180,8 +181,9 @@
     BOOST_TEST(!freshness.behind(7, at + 4s));
 }
 
-// Guards against a store that lost the newest configuration and vouches for the one before.
-BOOST_AUTO_TEST_CASE(a_store_that_shows_an_older_copy_vouches_for_nothing) {
+// Guards against a store that lost the newest configuration and confirms the one before it as
+// current.
+BOOST_AUTO_TEST_CASE(a_store_with_an_older_version_confirms_nothing) {
     cluster::table_freshness freshness;
     freshness.note_store_version(6);
     BOOST_TEST(freshness.store_confirms(6));
@@ -197,7 +199,7 @@
 
 BOOST_AUTO_TEST_CASE(calls_are_counted_by_table_and_purpose) {
     event_loop io;
-    small_store store;
+    fake_store store;
     cluster::counted_store counted{store};
     const auto call = [&]() -> asio::awaitable<void> {
         (void)co_await counted.list("t");
@@ -227,13 +229,12 @@
     BOOST_TEST(of("claims", store_purpose::claim) == 1U);
 }
 
-// A key that was taken away goes on working: the operators' change could not be
-// decoded, and the proxy took its older copy for current because the store had
-// answered.
-BOOST_AUTO_TEST_CASE(rows_that_were_not_taken_prove_nothing) {
-    followed_table table;
-    table.takes = false;
-    table.play(100ms);
+// Guards against accepting a revoked key: a configuration change could not be decoded, and the
+// proxy took its older copy for current because the store had answered.
+BOOST_AUTO_TEST_CASE(rejected_rows_confirm_nothing) {
+    follower_fixture table;
+    table.accepts_rows = false;
+    table.run_for_span(100ms);
     BOOST_TEST(table.versions.size() == 1U);
     BOOST_TEST((table.confirmed_current_at == boot_clock::time_point{}));
 }
--- a/tests/unit/table_readers.cpp
+++ b/tests/unit/table_readers.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-int decodings = 0;
+int decode_calls = 0;
 
 result<routing::configuration> decode(std::string_view text) {
-    ++decodings;
+    ++decode_calls;
     if (text == "bad") {
         return fail(errc::bad_request, "not a configuration");
     }
@@ -36,11 +36,11 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(table_readers)
+BOOST_AUTO_TEST_SUITE(table_decoding)
 
-// Guards against decoding a long configuration again at every change of another row.
-BOOST_AUTO_TEST_CASE(a_configuration_is_decoded_once_a_version) {
-    decodings = 0;
+// Guards against decoding a large configuration again at every change of another row.
+BOOST_AUTO_TEST_CASE(a_configuration_is_decoded_once_per_version) {
+    decode_calls = 0;
     reader subject{"config", &decode};
     std::vector<std::uint64_t> versions;
     const taken_versions take{&versions};
@@ -48,13 +48,13 @@
     auto same = rows_with("v", 3);
     same.at("other").version = 9;
     BOOST_TEST(subject.read(same, take).value());
-    BOOST_TEST(decodings == 1);
+    BOOST_TEST(decode_calls == 1);
     BOOST_TEST(subject.read(rows_with("vv", 10), take).value());
     BOOST_TEST((versions == std::vector<std::uint64_t>{1, 2}));
 }
 
-// Guards against a refused configuration that counts as taken after another row's change.
-BOOST_AUTO_TEST_CASE(a_refused_configuration_stays_refused) {
+// Guards against treating a rejected configuration as accepted after another row changes.
+BOOST_AUTO_TEST_CASE(a_rejected_configuration_stays_rejected) {
     reader subject{"config", &decode};
     std::vector<std::uint64_t> versions;
     const taken_versions take{&versions};
@@ -65,8 +65,8 @@
     BOOST_TEST(subject.read(rows_with("vv", 5), take).value());
 }
 
-// Guards against a configuration that could not be taken and counts as if it were.
-BOOST_AUTO_TEST_CASE(a_configuration_that_was_not_taken_is_read_again) {
+// Guards against treating a configuration as applied although applying it failed.
+BOOST_AUTO_TEST_CASE(a_configuration_that_was_not_applied_is_read_again) {
     reader subject{"config", &decode};
     const auto fails = [](const routing::configuration&) { throw std::runtime_error{"no memory"}; };
     BOOST_CHECK_THROW(subject.read(rows_with("v", 3), fails), std::runtime_error);
