--- a/src/cornellever/cluster/configuration_reader.hpp
+++ b/src/cornellever/cluster/configuration_reader.hpp
@@ -23,34 +23,34 @@
     /// error that says why it is invalid.
     configuration_reader(std::string_view key, Decode decode) : m_key{key}, m_decode{std::move(decode)} {}
 
-    /// Passes the configuration to `take` if the row changed since the last call. Returns whether
+    /// Passes the configuration to `apply` if the row changed since the last call. Returns whether
     /// the current version of the row is a valid configuration; nullopt if there is no such row.
-    template <std::invocable<routing::configuration> Take>
-    std::optional<bool> read(const table_rows& rows, Take take) {
+    template <std::invocable<routing::configuration> Apply>
+    std::optional<bool> read(const table_rows& rows, Apply apply) {
         const auto row = rows.find(m_key);
         if (row == rows.end()) {
             return std::nullopt;
         }
-        if (row->second.version == m_read) {
-            return m_taken;
+        if (row->second.version == m_decoded_version) {
+            return m_accepted;
         }
         auto decoded = m_decode(row->second.value);
-        m_taken = decoded.has_value();
-        if (m_taken) {
-            take(std::move(*decoded));
+        m_accepted = decoded.has_value();
+        if (m_accepted) {
+            apply(std::move(*decoded));
         } else {
             log_event(event::config_refused,
                       "row=" + std::to_string(row->second.version) + " reason=\"" + decoded.error().message + "\"");
         }
-        m_read = row->second.version;
-        return m_taken;
+        m_decoded_version = row->second.version;
+        return m_accepted;
     }
 
 private:
     std::string m_key;
     Decode m_decode;
-    std::uint64_t m_read{0};
-    bool m_taken{false};
+    std::uint64_t m_decoded_version{0};
+    bool m_accepted{false};
 };
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -177,7 +177,7 @@
     [[nodiscard]] reports_by_service reports_from_peers() const;
     /// This proxy's own observation; null for a service that it has not used.
     [[nodiscard]] const service_observation* observation_of(const std::string& service) const;
-    [[nodiscard]] primary_verdict verdict_for(const service_state& state, const service_observation* seen,
+    [[nodiscard]] primary_verdict verdict_for(const service_state& state, const service_observation* own_observation,
                                               std::span<const peer_report> peer_reports,
                                               std::vector<primary_view>& views) const;
     [[nodiscard]] std::chrono::milliseconds promotion_delay(const std::string& service) const;
@@ -277,10 +277,10 @@
     /// Proxies first seen since the last tick.
     std::vector<std::string> m_joined;
     /// Whether the other proxies have been read from the store.
-    bool m_listed{false};
-    std::vector<session::proxy_place> m_places;
-    /// Whether `m_places` included every proxy in the table when it was published.
-    bool m_places_complete{false};
+    bool m_peers_loaded{false};
+    std::vector<session::proxy_place> m_published_proxies;
+    /// Whether `m_published_proxies` included every proxy in the table when it was published.
+    bool m_published_complete{false};
     std::minstd_rand m_random{std::random_device{}()};
 };
 
--- a/src/cornellever/cluster/control.ipp
+++ b/src/cornellever/cluster/control.ipp
@@ -122,8 +122,8 @@
 asio::awaitable<void> control<Store, Orders, Connector>::tick() {
     for (;;) {
         co_await sleep_for(tick_period);
-        const auto seen = co_await m_bridge.observations();
-        for (const auto& item : seen) {
+        const auto latest = co_await m_bridge.observations();
+        for (const auto& item : latest) {
             m_services.try_emplace(item.service);
             m_observations.insert_or_assign(item.service, item);
         }
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -36,7 +36,7 @@
         }
         co_await sleep_for(pause);
     }
-    m_listed = true;
+    m_peers_loaded = true;
     publish_proxies();
     if (added) {
         send_greetings();
@@ -136,18 +136,18 @@
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::publish_proxies() {
-    if (!m_listed && boot_clock::now() - m_started < peer_list_timeout) {
+    if (!m_peers_loaded && boot_clock::now() - m_started < peer_list_timeout) {
         return;
     }
     std::vector<session::proxy_place> places{{m_settings.name, m_settings.data_center, m_settings.sessions}};
     for (const auto& [name, item] : m_members.peers()) {
         places.push_back({name, item.data_center, {item.address.address(), m_settings.sessions.port()}});
     }
-    if (places != m_places || m_listed != m_places_complete) {
-        m_places = places;
-        m_places_complete = m_listed;
+    if (places != m_published_proxies || m_peers_loaded != m_published_complete) {
+        m_published_proxies = places;
+        m_published_complete = m_peers_loaded;
         m_counts.proxies = places.size();
-        m_bridge.set_proxies(std::move(places), m_listed);
+        m_bridge.set_proxies(std::move(places), m_peers_loaded);
     }
 }
 
--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -23,8 +23,8 @@
                      .config_age = age_of(cached_table::configuration),
                      .registry_age = age_of(cached_table::servers),
                      .store_reachable = m_store_reachable()};
-    for (const auto& [name, seen] : m_observations) {
-        const auto& observed = seen.primary;
+    for (const auto& [name, latest] : m_observations) {
+        const auto& observed = latest.primary;
         if (observed.id.empty()) {
             continue;
         }
@@ -36,8 +36,8 @@
                               .refused = observed.refused,
                               .log_lost = observed.log_lost,
                               .furthest = observed.furthest};
-        if (what == peer_message::kind::answer && seen.sample) {
-            report.sample = aged_sample{age(seen.sample->asked_at), seen.sample->position};
+        if (what == peer_message::kind::answer && latest.sample) {
+            report.sample = aged_sample{age(latest.sample->asked_at), latest.sample->position};
         }
         out.primaries.push_back(std::move(report));
     }
@@ -58,7 +58,7 @@
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::send_heartbeats() {
     std::set<std::string, std::less<>> used;
-    for (const auto& [service, seen] : m_observations) {
+    for (const auto& [service, latest] : m_observations) {
         used.insert(service);
     }
     // In a large cluster each proxy asks only a few, so that its work does not grow with the
@@ -82,10 +82,11 @@
     std::set<std::string, std::less<>> out;
     for (const auto& name : services) {
         const auto limits = m_config.services.find(name);
-        if (limits == m_config.services.end() || m_places.empty()) {
+        if (limits == m_config.services.end() || m_published_proxies.empty()) {
             continue;
         }
-        for (const auto& owner : session::share_connections(name, limits->second.max_connections, m_places).owners) {
+        for (const auto& owner :
+             session::share_connections(name, limits->second.max_connections, m_published_proxies).owners) {
             out.insert(owner.name);
         }
     }
@@ -184,7 +185,7 @@
 void control<Store, Orders, Connector>::forward_reports(const peer_message& message,
                                                         const asio::ip::udp::endpoint& from, time_point ages_as_of) {
     const session::proxy_place peer{message.sender, message.data_center, {from.address(), m_settings.sessions.port()}};
-    std::vector<peer_observation> seen;
+    std::vector<peer_observation> received;
     for (const auto& item : message.primaries) {
         peer_observation observed{.service = item.service,
                                   .primary = item.unreachable ? std::string{} : item.primary,
@@ -196,10 +197,10 @@
         if (item.sample) {
             observed.sample = routing::freshness_sample{ages_as_of - item.sample->age, item.sample->position};
         }
-        seen.push_back(std::move(observed));
+        received.push_back(std::move(observed));
     }
-    if (!seen.empty()) {
-        m_bridge.update_observations(std::move(seen));
+    if (!received.empty()) {
+        m_bridge.update_observations(std::move(received));
     }
 }
 
--- a/src/cornellever/cluster/control_primaries.ipp
+++ b/src/cornellever/cluster/control_primaries.ipp
@@ -27,7 +27,7 @@
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 primary_verdict control<Store, Orders, Connector>::verdict_for(const service_state& state,
-                                                               const service_observation* seen,
+                                                               const service_observation* own_observation,
                                                                std::span<const peer_report> peer_reports,
                                                                std::vector<primary_view>& views) const {
     const auto now = boot_clock::now();
@@ -41,8 +41,8 @@
     if (m_store_reachable()) {
         evidence.entry.missing_for = m_registry.missing_for(state.primary, now);
     }
-    if (seen != nullptr && seen->primary.id == state.primary) {
-        const auto& observed = seen->primary;
+    if (own_observation != nullptr && own_observation->primary.id == state.primary) {
+        const auto& observed = own_observation->primary;
         evidence.own = primary_view{age(observed.heard_at), observed.unreachable, observed.refused, observed.log_lost};
     }
     for (const auto& [report, ages_as_of] : peer_reports) {
@@ -103,19 +103,19 @@
             registered = server->id;
         }
     }
-    const auto* seen = observation_of(service);
-    const bool sees_primary = seen != nullptr && !seen->primary.id.empty();
-    if (sees_primary) {
-        state.primary = seen->primary.id;
+    const auto* own_observation = observation_of(service);
+    const bool reaches_primary = own_observation != nullptr && !own_observation->primary.id.empty();
+    if (reaches_primary) {
+        state.primary = own_observation->primary.id;
     } else if (!registered.empty()) {
         state.primary = registered;
     }
-    const bool leaderless = registered.empty() && !sees_primary;
+    const bool leaderless = registered.empty() && !reaches_primary;
     if (!leaderless) {
         state.leaderless_since = now;
     }
     std::vector<primary_view> views;
-    auto verdict = verdict_for(state, seen, peer_reports, views);
+    auto verdict = verdict_for(state, own_observation, peer_reports, views);
     if (verdict == primary_verdict::fine && now - state.leaderless_since > leaderless_timeout) {
         verdict = primary_verdict::lost;
     }
@@ -125,8 +125,10 @@
         log_event(event::primary_judged,
                   "service=" + service + " primary=" + state.primary + " verdict=" + std::string{to_string(verdict)} +
                       " peers=" + std::to_string(views.size()) +
-                      (seen != nullptr && seen->primary.log_lost ? " log_lost=1" : "") +
-                      (seen != nullptr ? " heard_ms=" + std::to_string(to_ms(now - seen->primary.heard_at)) : ""));
+                      (own_observation != nullptr && own_observation->primary.log_lost ? " log_lost=1" : "") +
+                      (own_observation != nullptr
+                           ? " heard_ms=" + std::to_string(to_ms(now - own_observation->primary.heard_at))
+                           : ""));
     }
     if (verdict == primary_verdict::fine || now - state.judged_since < promotion_delay(service)) {
         return;
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -32,10 +32,10 @@
     const auto now = boot_clock::now();
     const auto others = watch_candidates(now);
     // If the store refuses this proxy but answers others, those do the polling.
-    const bool relies_on_peers = !m_listed || (!m_store_reachable() && !others.empty() &&
-                                               std::ranges::any_of(others, [&](const std::string& name) {
-                                                   return m_members.peers().find(name)->second.store_reachable;
-                                               }));
+    const bool relies_on_peers = !m_peers_loaded || (!m_store_reachable() && !others.empty() &&
+                                                     std::ranges::any_of(others, [&](const std::string& name) {
+                                                         return m_members.peers().find(name)->second.store_reachable;
+                                                     }));
     watch_mode out{.polls_store = false, .confirm_within = policy.max_confirmation_age};
     if (!relies_on_peers) {
         out = watch_mode_for(policy, watch_rank(names.at(index_of(what)), m_settings.name, others),
--- a/src/cornellever/cluster/counted_store.hpp
+++ b/src/cornellever/cluster/counted_store.hpp
@@ -59,11 +59,11 @@
     explicit counted_store(Store& store) : m_store{store} {}
 
     asio::awaitable<result<store_rows>> list(std::string table) {
-        const bool known = m_loaded[table];
-        count_call(table, known ? store_purpose::reading_again : store_purpose::first_reading);
+        const bool loaded = m_loaded[table];
+        count_call(table, loaded ? store_purpose::reading_again : store_purpose::first_reading);
         auto out = co_await m_store.list(table);
         record_outcome(table, out.has_value());
-        m_loaded[table] = known || out.has_value();
+        m_loaded[table] = loaded || out.has_value();
         co_return out;
     }
 
--- a/src/cornellever/cluster/membership.hpp
+++ b/src/cornellever/cluster/membership.hpp
@@ -131,17 +131,17 @@
         std::ranges::shuffle(out.service_peers, random);
         std::ranges::shuffle(rest, random);
         out.service_peers.resize(std::min(out.service_peers.size(), max_peers));
-        const auto take = [&](auto found) {
+        const auto pick = [&](auto found) {
             if (found != rest.end()) {
                 out.gossip_peers.push_back((*found)->address);
                 rest.erase(found);
             }
         };
-        take(std::ranges::min_element(rest, {}, &peer::alive_at));
-        take(std::ranges::find(rest, data_center, &peer::data_center));
-        take(rest.begin());
+        pick(std::ranges::min_element(rest, {}, &peer::alive_at));
+        pick(std::ranges::find(rest, data_center, &peer::data_center));
+        pick(rest.begin());
         for (std::size_t i = 0; i < max_suspects_asked; ++i) {
-            take(std::ranges::find_if(rest, [now](const auto* item) { return is_suspect(*item, now); }));
+            pick(std::ranges::find_if(rest, [now](const auto* item) { return is_suspect(*item, now); }));
         }
         return out;
     }
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -130,9 +130,9 @@
 
     asio::awaitable<std::string> query_replicas(attempt& current) {
         const auto reports = co_await m_servers.query_replicas(current.service, current.old);
-        const auto leading = std::ranges::find_if(reports, [](const auto& item) { return item.is_primary; });
-        if (leading != reports.end() && !lacks_entries_of(*leading, reports)) {
-            current.successor = leading->id;
+        const auto existing = std::ranges::find_if(reports, [](const auto& item) { return item.is_primary; });
+        if (existing != reports.end() && !lacks_entries_of(*existing, reports)) {
+            current.successor = existing->id;
             co_return "leads_already";
         }
         const auto chosen = choose_successor(reports, current.why);
@@ -189,8 +189,8 @@
         if (current.why != primary_verdict::lost || current.old.empty()) {
             co_return "gone";
         }
-        const bool leads = co_await m_servers.leads_now(current.service, current.old, recheck_timeout);
-        co_return leads ? "leads_still" : "gone";
+        const bool confirmed = co_await m_servers.leads_now(current.service, current.old, recheck_timeout);
+        co_return confirmed ? "leads_still" : "gone";
     }
 
     asio::awaitable<std::string> order(attempt& current) {
@@ -206,8 +206,9 @@
     }
 
     asio::awaitable<std::string> await_leadership(attempt& current) {
-        const bool leads = co_await m_servers.await_leadership(current.service, current.successor, leadership_timeout);
-        if (leads) {
+        const bool confirmed =
+            co_await m_servers.await_leadership(current.service, current.successor, leadership_timeout);
+        if (confirmed) {
             co_return "leads";
         }
         if (current.orders >= max_orders) {
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -64,9 +64,9 @@
         });
     }
 
-    void update_observations(std::vector<peer_observation> seen) {
-        asio::post(m_executor, [this, seen = std::move(seen)] {
-            for (const auto& item : seen) {
+    void update_observations(std::vector<peer_observation> received) {
+        asio::post(m_executor, [this, received = std::move(received)] {
+            for (const auto& item : received) {
                 apply_observation(item);
             }
         });
@@ -114,22 +114,22 @@
 
     static asio::awaitable<Json::Value> run(std::function<Json::Value()> produce) { co_return produce(); }
 
-    void apply_observation(const peer_observation& seen) {
-        if (!seen.primary.empty()) {
-            m_host.note_path(seen.service, seen.peer, seen.heard_at);
+    void apply_observation(const peer_observation& received) {
+        if (!received.primary.empty()) {
+            m_host.note_path(received.service, received.peer, received.heard_at);
         }
-        if (seen.furthest) {
-            m_host.note_told(seen.service, {seen.reported, *seen.furthest});
+        if (received.furthest) {
+            m_host.note_told(received.service, {received.reported, *received.furthest});
         }
-        const auto found = m_host.pools().find(seen.service);
+        const auto found = m_host.pools().find(received.service);
         if (found == m_host.pools().end()) {
             return;
         }
-        if (seen.sample) {
-            found->second->add_sample(*seen.sample);
+        if (received.sample) {
+            found->second->add_sample(*received.sample);
         }
-        if (!seen.primary.empty()) {
-            found->second->believe(seen.primary, seen.confirmed_at);
+        if (!received.primary.empty()) {
+            found->second->believe(received.primary, received.confirmed_at);
         }
     }
 
--- a/tests/unit/cluster.cpp
+++ b/tests/unit/cluster.cpp
@@ -24,7 +24,7 @@
 
 const boot_clock::time_point start{std::chrono::hours{1}};
 
-constexpr primary_view seen{50ms, false, false};
+constexpr primary_view answering{50ms, false, false};
 constexpr primary_view silent{900ms, true, false};
 constexpr primary_view refused{200ms, true, true};
 
@@ -70,14 +70,14 @@
 BOOST_AUTO_TEST_SUITE(primary_failure_detection)
 
 BOOST_AUTO_TEST_CASE(a_primary_that_answers_is_fine) {
-    BOOST_TEST((judge(seen, {seen, seen}) == primary_verdict::fine));
+    BOOST_TEST((judge(answering, {answering, answering}) == primary_verdict::fine));
 }
 
 // Guards against promoting a lagging replica because one proxy cannot reach a healthy primary,
 // which loses the commits of the last seconds.
 BOOST_AUTO_TEST_CASE(a_primary_unreachable_only_from_this_proxy_is_not_replaced) {
-    BOOST_TEST((judge(silent, {seen, silent}) == primary_verdict::fine));
-    BOOST_TEST((judge(refused, {seen, refused}) == primary_verdict::fine));
+    BOOST_TEST((judge(silent, {answering, silent}) == primary_verdict::fine));
+    BOOST_TEST((judge(refused, {answering, refused}) == primary_verdict::fine));
 }
 
 BOOST_AUTO_TEST_CASE(a_primary_unreachable_from_all_proxies_is_lost) {
@@ -100,13 +100,13 @@
 // Guards against an empty primary that is kept because most proxies know no earlier position of it.
 BOOST_AUTO_TEST_CASE(a_primary_that_lost_its_log_is_lost_even_if_others_reach_it) {
     const primary_view without_log{10ms, true, true, true};
-    BOOST_TEST((judge(without_log, {seen, seen, seen}) == primary_verdict::lost));
-    BOOST_TEST((judge(seen, {without_log, seen}) == primary_verdict::fine));
+    BOOST_TEST((judge(without_log, {answering, answering, answering}) == primary_verdict::lost));
+    BOOST_TEST((judge(answering, {without_log, answering}) == primary_verdict::fine));
 }
 
 BOOST_AUTO_TEST_CASE(a_draining_primary_is_replaced_while_it_serves) {
     primary_evidence evidence;
-    evidence.own = seen;
+    evidence.own = answering;
     evidence.entry.draining = true;
     BOOST_TEST((cluster::judge(evidence) == primary_verdict::leaving));
 }
@@ -115,7 +115,7 @@
 // store for some seconds: nobody could write.
 BOOST_AUTO_TEST_CASE(a_primary_without_entry_is_replaced_only_after_a_grace_period) {
     primary_evidence evidence;
-    evidence.own = seen;
+    evidence.own = answering;
     evidence.entry.missing_for = 1000ms;
     BOOST_TEST((cluster::judge(evidence) == primary_verdict::fine));
     evidence.entry.missing_for = 2700ms;
@@ -453,22 +453,22 @@
     store.feeds.push_back(fail(errc::unavailable, "down"));
     store.feeds.push_back(fail(errc::behind, "gone"));
     store.lists.push_back(cluster::store_rows{{{"a", "3", 9, false}}, 9, 0ms});
-    std::vector<std::pair<std::size_t, std::string>> seen_rows;
+    std::vector<std::pair<std::size_t, std::string>> received_rows;
     cluster::table_follower follower{store, "t",
                                      [] {
                                          return cluster::watch_mode{true, 10ms};
                                      },
                                      [&](const cluster::table_rows& rows, std::uint64_t) {
-                                         seen_rows.emplace_back(rows.size(), rows.at("a").value);
+                                         received_rows.emplace_back(rows.size(), rows.at("a").value);
                                          return true;
                                      }};
     asio::co_spawn(io, follower.run(), asio::detached);
     io.run();
-    BOOST_TEST_REQUIRE(seen_rows.size() == 3U);
-    BOOST_TEST(seen_rows[1].first == 2U);
-    BOOST_TEST(seen_rows[1].second == "2");
-    BOOST_TEST(seen_rows[2].first == 1U);
-    BOOST_TEST(seen_rows[2].second == "3");
+    BOOST_TEST_REQUIRE(received_rows.size() == 3U);
+    BOOST_TEST(received_rows[1].first == 2U);
+    BOOST_TEST(received_rows[1].second == "2");
+    BOOST_TEST(received_rows[2].first == 1U);
+    BOOST_TEST(received_rows[2].second == "3");
     BOOST_TEST((store.asked_after == std::vector<std::uint64_t>{4, 5, 5, 9}));
     io.abandon_pending();
 }
--- a/tests/unit/promotions.cpp
+++ b/tests/unit/promotions.cpp
@@ -130,12 +130,12 @@
         co_return in.old_answers_again&& in.leader == id;
     }
     asio::awaitable<bool> await_leadership(std::string, std::string id, std::chrono::milliseconds) {
-        bool leads = false;
+        bool confirmed = false;
         std::vector<call_result> possible_results{call_result::answered};
-        std::function<void()> apply = [&] { leads = in.leader == id; };
+        std::function<void()> apply = [&] { confirmed = in.leader == id; };
         std::string what{"await"};
         (void)co_await in.decide(std::move(what), std::move(possible_results), std::move(apply));
-        co_return leads;
+        co_return confirmed;
     }
 };
 
--- a/tests/unit/table_readers.cpp
+++ b/tests/unit/table_readers.cpp
@@ -29,7 +29,7 @@
     return out;
 }
 
-struct taken_versions {
+struct applied_versions {
     void operator()(const routing::configuration& config) { versions->push_back(config.version); }
     std::vector<std::uint64_t>* versions;
 };
@@ -43,13 +43,13 @@
     decode_calls = 0;
     reader subject{"config", &decode};
     std::vector<std::uint64_t> versions;
-    const taken_versions take{&versions};
-    BOOST_TEST(subject.read(rows_with("v", 3), take).value());
+    const applied_versions apply{&versions};
+    BOOST_TEST(subject.read(rows_with("v", 3), apply).value());
     auto same = rows_with("v", 3);
     same.at("other").version = 9;
-    BOOST_TEST(subject.read(same, take).value());
+    BOOST_TEST(subject.read(same, apply).value());
     BOOST_TEST(decode_calls == 1);
-    BOOST_TEST(subject.read(rows_with("vv", 10), take).value());
+    BOOST_TEST(subject.read(rows_with("vv", 10), apply).value());
     BOOST_TEST((versions == std::vector<std::uint64_t>{1, 2}));
 }
 
@@ -57,12 +57,12 @@
 BOOST_AUTO_TEST_CASE(a_rejected_configuration_stays_rejected) {
     reader subject{"config", &decode};
     std::vector<std::uint64_t> versions;
-    const taken_versions take{&versions};
-    BOOST_TEST(!subject.read({}, take).has_value());
-    BOOST_TEST(subject.read(rows_with("v", 3), take).value());
-    BOOST_TEST(!subject.read(rows_with("bad", 4), take).value());
-    BOOST_TEST(!subject.read(rows_with("bad", 4), take).value());
-    BOOST_TEST(subject.read(rows_with("vv", 5), take).value());
+    const applied_versions apply{&versions};
+    BOOST_TEST(!subject.read({}, apply).has_value());
+    BOOST_TEST(subject.read(rows_with("v", 3), apply).value());
+    BOOST_TEST(!subject.read(rows_with("bad", 4), apply).value());
+    BOOST_TEST(!subject.read(rows_with("bad", 4), apply).value());
+    BOOST_TEST(subject.read(rows_with("vv", 5), apply).value());
 }
 
 // Guards against treating a configuration as applied although applying it failed.
@@ -71,7 +71,7 @@
     const auto fails = [](const routing::configuration&) { throw std::runtime_error{"no memory"}; };
     BOOST_CHECK_THROW(subject.read(rows_with("v", 3), fails), std::runtime_error);
     std::vector<std::uint64_t> versions;
-    BOOST_TEST(subject.read(rows_with("v", 3), taken_versions{&versions}).value());
+    BOOST_TEST(subject.read(rows_with("v", 3), applied_versions{&versions}).value());
     BOOST_TEST(versions.size() == 1U);
 }
 
