--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -127,7 +127,7 @@
     /// A peer's report on a primary, and the time at which the ages in it were valid.
     struct peer_report {
         const primary_report* report{nullptr};
-        time_point at{};
+        time_point ages_as_of{};
     };
     using reports_by_service = std::unordered_map<std::string_view, std::vector<peer_report>>;
 
--- a/src/cornellever/cluster/control_primaries.ipp
+++ b/src/cornellever/cluster/control_primaries.ipp
@@ -104,13 +104,13 @@
         }
     }
     const auto* own_observation = observation_of(service);
-    const bool reaches_primary = own_observation != nullptr && !own_observation->primary.id.empty();
-    if (reaches_primary) {
+    const bool observes_primary = own_observation != nullptr && !own_observation->primary.id.empty();
+    if (observes_primary) {
         state.primary = own_observation->primary.id;
     } else if (!registered.empty()) {
         state.primary = registered;
     }
-    const bool leaderless = registered.empty() && !reaches_primary;
+    const bool leaderless = registered.empty() && !observes_primary;
     if (!leaderless) {
         state.leaderless_since = now;
     }
--- a/src/cornellever/cluster/membership.hpp
+++ b/src/cornellever/cluster/membership.hpp
@@ -42,6 +42,7 @@
 
 /// The peers to send a heartbeat question to.
 struct heartbeat_targets {
+    /// Peers that use the same services.
     std::vector<asio::ip::udp::endpoint> service_peers;
     /// Peers that also exchange gossip on which other proxies are alive.
     std::vector<asio::ip::udp::endpoint> gossip_peers;
@@ -67,8 +68,8 @@
     /// An answer takes milliseconds, but it or the question may be lost, and the next question
     /// follows half a second later.
     static constexpr std::chrono::milliseconds answer_timeout{1000};
-    /// Limit on suspects asked at a time. With more of them, each is confirmed later through
-    /// gossip, and none is removed for that.
+    /// Limit on suspects asked at a time. With more suspects, the rest depend on later gossip; a proxy
+    /// that has not been asked is not removed.
     static constexpr std::size_t max_suspects_asked = 8;
 
     explicit membership(std::string self) : m_self{std::move(self)} {}
--- a/src/cornellever/cluster/store_watch.hpp
+++ b/src/cornellever/cluster/store_watch.hpp
@@ -53,9 +53,9 @@
 /// the work is not always done by the same proxies.
 [[nodiscard]] inline std::size_t watch_rank(std::string_view table, std::string_view self,
                                             std::span<const std::string> eligible) {
-    const auto mine = stable_hash({table, "/", self});
+    const auto own_hash = stable_hash({table, "/", self});
     return static_cast<std::size_t>(std::ranges::count_if(eligible, [&](const auto& name) {
-        return stable_hash({table, "/", name}) < mine;
+        return stable_hash({table, "/", name}) < own_hash;
     }));
 }
 
--- a/src/cornellever/cluster/table_follower.hpp
+++ b/src/cornellever/cluster/table_follower.hpp
@@ -45,7 +45,7 @@
     /// Runs until the event loop ends.
     asio::awaitable<void> run() {
         for (;;) {
-            co_await await_need();
+            co_await wait_until_query_needed();
             m_queried_at = boot_clock::now();
             // After a failure the store is queried without waiting for changes; a long poll would
             // delay noticing that it has recovered.
@@ -93,7 +93,7 @@
     static constexpr std::chrono::milliseconds recovery_spread{500};
 
     /// Waits as long as peers keep this proxy's copy current.
-    asio::awaitable<void> await_need() {
+    asio::awaitable<void> wait_until_query_needed() {
         while (relies_on_peers(m_mode())) {
             co_await sleep_for(peer_check_period);
         }
--- a/tests/unit/promotions.cpp
+++ b/tests/unit/promotions.cpp
@@ -265,7 +265,7 @@
             for (const auto item : choices) {
                 choice_list += std::to_string(item) + " ";
             }
-            BOOST_ERROR("violated by the schedule " + choice_list);
+            BOOST_ERROR("broken by the schedule " + choice_list);
             break;
         }
         // The next schedule: advances the last choice that has another possibility.
@@ -278,7 +278,7 @@
         }
         ++choices.back();
     }
-    BOOST_TEST_MESSAGE("schedules run: " << schedules);
+    BOOST_TEST_MESSAGE("schedules played: " << schedules);
     BOOST_TEST(schedules > 1000U);
 }
 
