--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -87,8 +87,8 @@
     [[nodiscard]] watch_mode watch_mode_of(cached_table what) const;
 
     /// Records that the store confirmed the copy of a table as current at `at`. A store restored
-    /// from an older backup may give such a confirmation for a configuration that peers know to be
-    /// superseded; it is ignored then.
+    /// from an older copy of its data may confirm a configuration that peers know to be superseded;
+    /// such a confirmation is ignored.
     void mark_current(cached_table what, time_point at) {
         auto& freshness = m_freshness.at(index_of(what));
         if (what != cached_table::configuration || freshness.store_confirms(m_config.version)) {
--- a/src/cornellever/cluster/table_freshness.hpp
+++ b/src/cornellever/cluster/table_freshness.hpp
@@ -34,7 +34,7 @@
     }
 
     /// Records the version in the store. It may be older than this proxy's copy if the store was
-    /// restored from a backup.
+    /// restored from an older copy of its data.
     void note_store_version(std::uint64_t version) noexcept { m_store_version = version; }
 
     /// Whether an answer from the store that nothing changed confirms `own_version` as the newest.
