--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -23,10 +23,10 @@
 #include "cornellever/cluster/peer_traffic.hpp"
 #include "cornellever/cluster/primary_judge.hpp"
 #include "cornellever/cluster/promotion.hpp"
-#include "cornellever/cluster/registry_keeper.hpp"
+#include "cornellever/cluster/registry_cache.hpp"
 #include "cornellever/cluster/snapshot.hpp"
 #include "cornellever/cluster/store_watch.hpp"
-#include "cornellever/cluster/table_news.hpp"
+#include "cornellever/cluster/table_freshness.hpp"
 #include "cornellever/cluster/traffic_bridge.hpp"
 #include "cornellever/core/log.hpp"
 #include "cornellever/core/scoped_count.hpp"
@@ -37,16 +37,16 @@
 
 namespace cornellever::cluster {
 
-/// What the control side has done, readable from any thread.
+/// Counters of the control plane; readable from any thread.
 struct control_counts {
     std::atomic<std::uint64_t> promoted{0};
     std::atomic<std::uint64_t> given_up{0};
     std::atomic<std::uint64_t> proxies{0};
 };
 
-/// The control side of a proxy, on a thread of its own: knows the other
-/// proxies, tells the traffic side of configuration, servers and what peers
-/// saw, and replaces primaries.
+/// The control plane of a proxy, run on its own thread. Exchanges heartbeats with the other
+/// proxies, keeps the configuration and the server registry up to date, passes both and the peers'
+/// primary observations to the traffic thread, and replaces failed or leaving primaries.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 class control {
 public:
@@ -65,89 +65,92 @@
         , m_socket{executor}
         , m_rpc{executor} {}
 
-    /// Binds its addresses and begins; `unavailable` when one is taken.
+    /// Binds the heartbeat and RPC addresses and starts the background tasks. Error: `unavailable`
+    /// if an address cannot be bound.
     [[nodiscard]] result<void> start();
 
-    /// Takes the configuration that the store shows; an older one than that at
-    /// hand changes nothing, but the store's word proves nothing until it has
-    /// caught up.
-    void take_stored(routing::configuration config);
-    /// Takes the registered servers, from the store.
-    void take(const routing::registry& registered);
+    /// Applies the configuration read from the store. An older one than the one in force is
+    /// ignored, but until the store has caught up its answers do not confirm the newer one as
+    /// current.
+    void apply_stored(routing::configuration config);
+    /// Applies the registered servers read from the store.
+    void apply(const routing::registry& registered);
 
-    /// Whether the store answers this proxy at present.
+    /// Sets the callback that reports whether the store currently answers this proxy.
     void set_store_reachable(std::function<bool()> reachable) { m_store_reachable = std::move(reachable); }
 
-    /// Adds the traffic side to what `dump` tells; called on its thread.
+    /// Sets the callback that adds the state of the traffic side to the `dump` reply. It is called
+    /// on the traffic thread.
     void add_dump(std::function<Json::Value()> traffic) { m_dump_traffic = std::move(traffic); }
 
-    /// How this proxy keeps up with a table of the store at present.
-    [[nodiscard]] watch_pace pace(followed what) const;
+    /// How this proxy currently keeps its copy of a table up to date.
+    [[nodiscard]] watch_mode watch_mode_of(cached_table what) const;
 
-    /// The store said that this proxy's copy was current at that time. One that
-    /// has returned from an older copy says so of a configuration that others know
-    /// to be replaced.
-    void note_current(followed what, time_point at) {
-        auto& news = m_followed.at(place(what));
-        if (what != followed::configuration || news.store_vouches_for(m_config.version)) {
-            news.note_current(at);
+    /// Records that the store confirmed the copy of a table as current at `at`. A store restored
+    /// from an older copy of its data may confirm a configuration that peers know to be superseded;
+    /// such a confirmation is ignored.
+    void mark_current(cached_table what, time_point at) {
+        auto& freshness = m_freshness.at(index_of(what));
+        if (what != cached_table::configuration || freshness.store_confirms(m_config.version)) {
+            freshness.mark_current(at);
         }
-        tell_proof();
+        publish_confirmation();
     }
 
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
 
     [[nodiscard]] const control_counts& counts() const noexcept { return m_counts; }
-    [[nodiscard]] const peer_traffic& heard_from_peers() const noexcept { return m_peer_traffic; }
+    [[nodiscard]] const peer_traffic& received_from_peers() const noexcept { return m_peer_traffic; }
 
-    /// The store may have lost this proxy's row, which it writes again.
-    void register_again() { asio::co_spawn(m_executor, write_own_row_again(), asio::detached); }
+    /// Writes this proxy's row to the store again, after the store may have lost it.
+    void register_again() { asio::co_spawn(m_executor, rewrite_own_row(), asio::detached); }
 
-    /// This proxy stops by plan: it replaces no primary any more, and those
-    /// that start from now on do not learn of it.
+    /// Starts a planned shutdown: this proxy no longer starts promotions, and proxies that start
+    /// later do not discover it.
     asio::awaitable<void> prepare_to_leave();
 
-    /// Its connections are closed; the others may use what was its share.
+    /// Sends a farewell to all peers once this proxy's connections are closed, so that they can use
+    /// its share of the connections.
     void farewell();
 
 private:
-    /// What was last known of a service's primary.
-    struct watch {
+    /// The last known state of a service's primary.
+    struct service_state {
         std::string primary;
         time_point leaderless_since{};
         time_point judged_since{};
         primary_verdict verdict{primary_verdict::fine};
         bool replacing{false};
-        time_point not_before{};
+        time_point retry_at{};
     };
 
-    /// What a peer says of a primary, and the time from which its ages count.
-    struct heard_report {
+    /// A peer's report on a primary, and the time at which the ages in it were valid.
+    struct peer_report {
         const primary_report* report{nullptr};
-        time_point at{};
+        time_point ages_as_of{};
     };
-    using reports_by_service = std::unordered_map<std::string_view, std::vector<heard_report>>;
+    using reports_by_service = std::unordered_map<std::string_view, std::vector<peer_report>>;
 
-    struct asked {
+    struct sent_question {
         time_point sent_at;
     };
 
-    void take(routing::configuration config);
+    void apply(routing::configuration config);
     asio::awaitable<result<Json::Value>> dump();
-    [[nodiscard]] static constexpr std::size_t place(followed what) { return static_cast<std::size_t>(what); }
-    [[nodiscard]] std::uint64_t version_of(followed what) const {
-        return what == followed::configuration ? m_config.version : m_registry.effective().version;
+    [[nodiscard]] static constexpr std::size_t index_of(cached_table what) { return static_cast<std::size_t>(what); }
+    [[nodiscard]] std::uint64_t version_of(cached_table what) const {
+        return what == cached_table::configuration ? m_config.version : m_registry.effective().version;
     }
-    [[nodiscard]] std::vector<std::string> sharing_the_watch(time_point now) const;
-    [[nodiscard]] bool fetches_from_afar(time_point now) const;
+    [[nodiscard]] std::vector<std::string> watch_candidates(time_point now) const;
+    [[nodiscard]] bool fetches_across_data_centers(time_point now) const;
     asio::awaitable<void> receive();
     asio::awaitable<void> tick();
     asio::awaitable<void> register_self();
-    asio::awaitable<void> write_own_row_again();
+    asio::awaitable<void> rewrite_own_row();
     [[nodiscard]] std::string own_row() const;
-    asio::awaitable<void> take_proxies(store_rows listed);
-    asio::awaitable<void> name_cluster();
-    /// Short, since every message carries it; never 0.
+    asio::awaitable<void> load_proxies(store_rows listed);
+    asio::awaitable<void> create_cluster_id();
+    /// A short id, because every message carries it; never 0.
     [[nodiscard]] static std::uint64_t cluster_id(std::string_view name) noexcept {
         return stable_hash({name}) % 0xffffffffU + 1;
     }
@@ -155,81 +158,84 @@
     asio::awaitable<void> catch_up(std::string from, asio::ip::address address);
     asio::awaitable<void> replace(std::string service, std::string old, primary_verdict why);
     void handle(const peer_message& message, const asio::ip::udp::endpoint& from);
-    void hear_of_tables(const peer_message& message, time_point counted_from);
+    void apply_table_ages(const peer_message& message, time_point ages_as_of);
     void compare_versions(const peer_message& message, const asio::ip::udp::endpoint& from, time_point now);
-    void take_reports(const peer_message& message, const asio::ip::udp::endpoint& from, time_point counted_from);
-    void ask_peers();
-    static void log_members(event what, const std::vector<std::string>& names, std::string_view more);
-    void greet_all();
-    [[nodiscard]] std::vector<asio::ip::udp::endpoint> everybody() const;
+    void forward_reports(const peer_message& message, const asio::ip::udp::endpoint& from, time_point ages_as_of);
+    void send_heartbeats();
+    static void log_members(event what, const std::vector<std::string>& names, std::string_view suffix);
+    void send_greetings();
+    [[nodiscard]] std::vector<asio::ip::udp::endpoint> all_peers() const;
     [[nodiscard]] std::set<std::string, std::less<>>
     owners_of(const std::set<std::string, std::less<>>& services) const;
-    void ask(const peers_to_ask& peers);
+    void send_questions(const heartbeat_targets& peers);
     void send(const peer_message& message, std::span<const asio::ip::udp::endpoint> to);
-    [[nodiscard]] peer_message message_now(peer_message::kind what) const;
-    void look_after_primaries();
-    void look_after(const std::string& service, std::span<const routing::backend_server* const> servers, watch& at,
-                    std::span<const heard_report> heard);
-    /// What peers that are alive say; valid until the next message of one.
-    [[nodiscard]] reports_by_service reports_heard() const;
-    /// Null for a service that this proxy has not used.
-    [[nodiscard]] const service_sight* sight_of(const std::string& service) const;
-    [[nodiscard]] primary_verdict verdict_on(const watch& at, const service_sight* seen,
-                                             std::span<const heard_report> heard,
-                                             std::vector<primary_view>& views) const;
-    [[nodiscard]] std::chrono::milliseconds turn_delay(const std::string& service) const;
-    [[nodiscard]] bool suspicious() const;
-    void share_budget();
-    void tell_proof();
-    [[nodiscard]] bool lacks_proof(time_point now) const;
+    [[nodiscard]] peer_message build_message(peer_message::kind what) const;
+    void check_primaries();
+    void check_primary(const std::string& service, std::span<const routing::backend_server* const> servers,
+                       service_state& state, std::span<const peer_report> peer_reports);
+    /// Reports of the peers that are alive, by service. Valid until the next message from a peer.
+    [[nodiscard]] reports_by_service reports_from_peers() const;
+    /// This proxy's own observation; null for a service that it has not used.
+    [[nodiscard]] const service_observation* observation_of(const std::string& service) const;
+    [[nodiscard]] primary_verdict verdict_for(const service_state& state, const service_observation* own_observation,
+                                              std::span<const peer_report> peer_reports,
+                                              std::vector<primary_view>& views) const;
+    [[nodiscard]] std::chrono::milliseconds promotion_delay(const std::string& service) const;
+    [[nodiscard]] bool any_primary_suspect() const;
+    void publish_proxies();
+    void publish_confirmation();
+    [[nodiscard]] bool confirmation_overdue(time_point now) const;
 
     static constexpr std::string_view proxies_table = "proxies";
-    /// The row of that table that holds `m_cluster`; no proxy has this name.
+    /// Key of the row in the proxies table that holds `m_cluster`. No proxy has this name.
     static constexpr std::string_view cluster_key = ".cluster";
     static constexpr std::chrono::milliseconds tick_period{100};
-    /// Often enough that a peer's sample is fresh for a read that may be 1.5 s
-    /// old, and that two lost datagrams do not make a proxy look dead.
+    /// Short enough that a peer's sample is still fresh for reads with a freshness bound of 1.5 s,
+    /// and that losing two datagrams does not make a proxy look dead.
     static constexpr std::chrono::milliseconds heartbeat_period{500};
-    static constexpr std::chrono::milliseconds suspicious_period{100};
-    /// The first proxy in the order of names acts; the others wait their turn
-    /// in case that it can't.
-    static constexpr std::chrono::milliseconds turn_step{250};
-    static constexpr std::ptrdiff_t longest_turn = 6;
+    static constexpr std::chrono::milliseconds suspect_heartbeat_period{100};
+    /// Proxies try a promotion in the order of their names: each waits one step longer than the one
+    /// before, in case that one cannot act.
+    static constexpr std::chrono::milliseconds promotion_delay_step{250};
+    static constexpr std::ptrdiff_t max_promotion_delay_steps = 6;
     static constexpr std::chrono::milliseconds retry_pause{300};
-    /// No replica stays: a new server has to register first.
+    /// Delay after no suitable replica was found: a new server has to register first.
     static constexpr std::chrono::milliseconds successor_wait{800};
-    /// Another proxy has claimed the promotion, which takes 1.2 s.
-    static constexpr std::chrono::milliseconds others_turn{1200};
-    /// Nobody leads and nobody was asked to: longer than a promotion takes.
-    static constexpr std::chrono::milliseconds leaderless_for{1800};
-    /// The feed of the store is given that long before a peer is asked: half a
-    /// megabyte takes 0.4 s over the slowest links (10 Mbit/s).
-    static constexpr std::chrono::milliseconds feed_lead{500};
-    /// By then it has come to this data centre, unless those that fetch it are
-    /// cut off.
-    static constexpr std::chrono::milliseconds far_lead{1200};
-    /// Servers leave with notice, and one that is gone shows by itself.
-    static constexpr std::chrono::milliseconds registry_lead{1500};
-    /// Until the others are known, the fewest connections are used.
-    static constexpr std::chrono::milliseconds unknown_for{1500};
-    /// Until an answer of a peer begins, and between two pieces of it.
-    static constexpr std::chrono::milliseconds catch_up_limit{500};
-    /// Configurations that are being sent at a time. A small VM's link carries a
-    /// few in the time of a heartbeat; those that got one pass it on, and the rest
-    /// get it from them sooner than from a link that is shared by all.
-    static constexpr std::size_t most_uploads = 4;
-    /// Pause of a proxy that got no snapshot, spread over as much again.
+    /// Delay after another proxy claimed the promotion; a promotion takes 1.2 s.
+    static constexpr std::chrono::milliseconds other_claim_pause{1200};
+    /// How long a service may have neither a registered nor a reachable primary; longer than a
+    /// promotion takes.
+    static constexpr std::chrono::milliseconds leaderless_timeout{1800};
+    /// How long the store's change feed may take before a peer is asked instead: half a megabyte
+    /// takes 0.4 s over the slowest links (10 Mbit/s).
+    static constexpr std::chrono::milliseconds feed_head_start{500};
+    /// How long to wait for the proxies of the own data centre that fetch from another one. By then
+    /// they have the new version, unless they are cut off.
+    static constexpr std::chrono::milliseconds remote_fetch_head_start{1200};
+    /// Servers leave with notice, and one that has failed is detected without the registry.
+    static constexpr std::chrono::milliseconds registry_head_start{1500};
+    /// Until the proxy list is complete or this much time has passed, the traffic side gets no list
+    /// and opens the fewest connections.
+    static constexpr std::chrono::milliseconds peer_list_timeout{1500};
+    /// Timeout for the start of a peer's reply, and between two parts of it.
+    static constexpr std::chrono::milliseconds catch_up_timeout{500};
+    /// Limit on configurations being sent at a time. A small VM's link carries a few within a
+    /// heartbeat period. The proxies that got one pass it on, which serves the rest sooner than one
+    /// link shared by all.
+    static constexpr std::size_t max_uploads = 4;
+    /// Shortest pause after a failed snapshot request. The actual pause is random, up to twice as
+    /// long.
     static constexpr std::chrono::milliseconds catch_up_pause{60};
-    static constexpr std::size_t sampled_peers = 12;
+    static constexpr std::size_t max_service_peers_asked = 12;
     static constexpr std::chrono::milliseconds rewrite_spread{2000};
-    static constexpr int most_rewrites = 5;
-    /// A message tells when so many others were last alive: with six exchanges
-    /// a second each of 64 proxies is heard of about once a second.
-    static constexpr std::size_t passed_on = 6;
+    static constexpr int max_rewrites = 5;
+    /// Number of live proxies listed in a gossip message. With six exchanges a second each, every
+    /// one of 64 proxies is mentioned about once a second.
+    static constexpr std::size_t gossiped_peers = 6;
     /// Answers to older questions are too old to be of use.
-    static constexpr std::size_t remembered_questions = 16;
+    static constexpr std::size_t max_open_questions = 16;
     /// A report takes about 60 bytes a service.
-    static constexpr std::size_t largest_message_bytes = 8192;
+    static constexpr std::size_t max_message_bytes = 8192;
 
     asio::any_io_executor m_executor;
     control_settings m_settings;
@@ -240,41 +246,41 @@
     asio::ip::udp::socket m_socket;
     rpc::server m_rpc;
     routing::configuration m_config;
-    registry_keeper m_registry;
-    std::map<std::string, watch, std::less<>> m_watched;
-    /// What the traffic side last saw of the services that it uses, by name. Far
-    /// fewer than all services, and told in every message.
-    std::map<std::string, service_sight, std::less<>> m_sights;
-    std::map<std::uint64_t, asked> m_questions;
+    registry_cache m_registry;
+    std::map<std::string, service_state, std::less<>> m_services;
+    /// This proxy's latest observations of the services that it uses, by name. They are far fewer
+    /// than all services, and they are sent in every message.
+    std::map<std::string, service_observation, std::less<>> m_observations;
+    std::map<std::uint64_t, sent_question> m_questions;
     std::uint64_t m_last_nonce{0};
-    /// Tells the proxies of this deployment from those of others; 0 until it
-    /// was read from the store.
+    /// Id of this deployment, to ignore messages of other deployments; 0 until it has been read
+    /// from the store.
     std::uint64_t m_cluster{0};
     control_counts m_counts;
     peer_traffic m_peer_traffic;
     std::function<Json::Value()> m_dump_traffic{[] { return Json::Value{}; }};
-    /// By `followed`.
-    std::array<table_news, 2> m_followed;
+    /// Indexed by `cached_table`.
+    std::array<table_freshness, 2> m_freshness;
     std::function<bool()> m_store_reachable{[] { return true; }};
-    /// What the traffic side was last told of the configuration's age.
-    time_point m_proof_told{};
+    /// Time of the newest configuration confirmation passed to the traffic side.
+    time_point m_published_confirmation{};
     time_point m_started{boot_clock::now()};
     time_point m_last_heartbeat{};
     time_point m_behind_since{};
     bool m_catching_up{false};
     time_point m_catch_up_after{};
-    /// Of the configuration at hand, once it was asked for.
+    /// Packed form of the configuration in force, computed when a peer first requests it.
     packed_part m_packed_config;
     packed_part m_packed_registry;
     std::size_t m_uploads{0};
     bool m_leaving{false};
-    /// Heard of since the last tick.
+    /// Proxies first seen since the last tick.
     std::vector<std::string> m_joined;
-    /// The others were read from the store.
-    bool m_listed{false};
-    std::vector<session::proxy_place> m_places;
-    /// Whether these were all that are in the table.
-    bool m_places_complete{false};
+    /// Whether the other proxies have been read from the store.
+    bool m_peers_loaded{false};
+    std::vector<session::proxy_place> m_published_proxies;
+    /// Whether `m_published_proxies` included every proxy in the table when it was published.
+    bool m_published_complete{false};
     std::minstd_rand m_random{std::random_device{}()};
 };
 
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -1,21 +1,20 @@
 #pragma once
 
-// Joining the other proxies and leaving them; who shares connections.
+// Joining and leaving the cluster, and publishing the proxies that share the connections.
 
 namespace cornellever::cluster {
 
-/// Makes this proxy known to those that start later, and learns of those that
-/// started before.
+/// Registers this proxy in the store and discovers the proxies registered before.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::register_self() {
     constexpr std::chrono::milliseconds pause{400};
     const std::string table{proxies_table};
     const auto address = own_row();
     bool registered = false;
-    // Whoever reads the table after this proxy's row is in it finds this one,
-    // and this one finds those whose rows were there before: no two miss each
-    // other. After a restart the row is there already, and one reading will do;
-    // 195 rows written at once would take the store 0.8 s at 250 a second.
+    // A proxy that reads the table after this one's row was written finds this one, and this one
+    // reads the rows that were there before: no two miss each other. After a restart the row exists
+    // already, and reading the table once is enough; 195 rows written at once would take the store
+    // 0.8 s at 250 writes a second.
     bool in_table = !m_settings.first_start;
     bool added = false;
     while (!registered) {
@@ -30,34 +29,34 @@
                 registered = std::ranges::any_of(rows->rows, [&](const store_row& row) {
                     return row.key == m_settings.name && row.value == address;
                 });
-                co_await take_proxies(std::move(*rows));
+                co_await load_proxies(std::move(*rows));
                 in_table = registered;
                 continue;
             }
         }
         co_await sleep_for(pause);
     }
-    m_listed = true;
-    share_budget();
+    m_peers_loaded = true;
+    publish_proxies();
     if (added) {
-        greet_all();
+        send_greetings();
     }
-    ask_peers();
+    send_heartbeats();
 }
 
-/// Where the others reach this proxy.
+/// The address at which the other proxies reach this one, and its data centre.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 std::string control<Store, Orders, Connector>::own_row() const {
     return m_settings.heartbeats.address().to_string() + ":" + std::to_string(m_settings.heartbeats.port()) + " " +
            m_settings.data_center;
 }
 
-/// Writes this proxy's row once more, spread over the time in which all proxies
-/// do so: a proxy that starts later learns of the others from their rows.
+/// Writes this proxy's row again after a random delay, because all proxies do so at the same time.
+/// Proxies that start later discover the others from these rows.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-asio::awaitable<void> control<Store, Orders, Connector>::write_own_row_again() {
+asio::awaitable<void> control<Store, Orders, Connector>::rewrite_own_row() {
     std::uniform_int_distribution<long long> wait{0, rewrite_spread.count()};
-    for (int tries = 0; tries < most_rewrites && !m_leaving; ++tries) {
+    for (int tries = 0; tries < max_rewrites && !m_leaving; ++tries) {
         co_await sleep_for(std::chrono::milliseconds{wait(m_random)});
         const std::string table{proxies_table};
         const auto row = own_row();
@@ -70,7 +69,7 @@
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-asio::awaitable<void> control<Store, Orders, Connector>::take_proxies(store_rows listed) {
+asio::awaitable<void> control<Store, Orders, Connector>::load_proxies(store_rows listed) {
     for (const auto& row : listed.rows) {
         if (row.key == cluster_key) {
             m_cluster = cluster_id(row.value);
@@ -83,17 +82,17 @@
                       "row=" + std::to_string(row.version) + " reason=\"no address of a proxy\"");
             continue;
         }
-        m_members.learn(row.key, row.value.substr(blank + 1), {where.address(), where.port()}, boot_clock::now());
+        m_members.add_peer(row.key, row.value.substr(blank + 1), {where.address(), where.port()}, boot_clock::now());
     }
     if (m_cluster == 0) {
-        co_await name_cluster();
+        co_await create_cluster_id();
     }
 }
 
-/// The first proxy of a deployment gives it an id. Whose row it became is read
-/// back: another may have been faster, or the answer was lost.
+/// Creates the id of the deployment; only the first proxy succeeds. The row is read back, because
+/// another proxy may have been faster or the response may have been lost.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-asio::awaitable<void> control<Store, Orders, Connector>::name_cluster() {
+asio::awaitable<void> control<Store, Orders, Connector>::create_cluster_id() {
     const std::string table{proxies_table};
     const std::string key{cluster_key};
     const auto mine = m_settings.name + "/" + std::to_string(m_settings.incarnation);
@@ -107,22 +106,22 @@
         m_cluster = cluster_id(row->value);
         co_return;
     }
-    // Without an id all messages count, as they do from proxies that have none.
+    // Without an id, messages of all deployments are accepted, as are messages of proxies that have
+    // none.
     log_event(event::store_lost, "table=" + table + " reason=cluster_id");
 }
 
-/// Each proxy that is known learns of this one at once, and not only as it
-/// happens to be asked: whose connections count has to be the same for all. No
-/// answers are wanted: 195 proxies that start together would send each other
-/// 37,800 questions and as many answers, while callers come back. Those that
-/// were in the table before are known to all and greet nobody.
+/// Announces this proxy to all known peers at once instead of when they next happen to be asked,
+/// because all proxies must agree on who shares the connections. Greetings are not answered: 195
+/// proxies that start together would exchange 37,800 questions and as many answers while callers
+/// reconnect. Proxies that were in the table already are known to all and send no greeting.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::greet_all() {
-    send(message_now(peer_message::kind::greeting), everybody());
+void control<Store, Orders, Connector>::send_greetings() {
+    send(build_message(peer_message::kind::greeting), all_peers());
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-std::vector<asio::ip::udp::endpoint> control<Store, Orders, Connector>::everybody() const {
+std::vector<asio::ip::udp::endpoint> control<Store, Orders, Connector>::all_peers() const {
     std::vector<asio::ip::udp::endpoint> out;
     for (const auto& [name, item] : m_members.peers()) {
         out.push_back(item.address);
@@ -132,23 +131,23 @@
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::farewell() {
-    send(message_now(peer_message::kind::farewell), everybody());
+    send(build_message(peer_message::kind::farewell), all_peers());
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::share_budget() {
-    if (!m_listed && boot_clock::now() - m_started < unknown_for) {
+void control<Store, Orders, Connector>::publish_proxies() {
+    if (!m_peers_loaded && boot_clock::now() - m_started < peer_list_timeout) {
         return;
     }
     std::vector<session::proxy_place> places{{m_settings.name, m_settings.data_center, m_settings.sessions}};
     for (const auto& [name, item] : m_members.peers()) {
         places.push_back({name, item.data_center, {item.address.address(), m_settings.sessions.port()}});
     }
-    if (places != m_places || m_listed != m_places_complete) {
-        m_places = places;
-        m_places_complete = m_listed;
+    if (places != m_published_proxies || m_peers_loaded != m_published_complete) {
+        m_published_proxies = places;
+        m_published_complete = m_peers_loaded;
         m_counts.proxies = places.size();
-        m_bridge.set_proxies(std::move(places), m_listed);
+        m_bridge.set_proxies(std::move(places), m_peers_loaded);
     }
 }
 
--- a/src/cornellever/cluster/counted_store.hpp
+++ b/src/cornellever/cluster/counted_store.hpp
@@ -14,14 +14,14 @@
 
 /// Why the metadata store was called.
 enum class store_purpose {
-    /// This proxy's row among the proxies, written or removed.
+    /// This proxy's own row in the proxies table was written or removed.
     own_row,
     first_reading,
     waiting,
-    /// A whole table read again: in case that peers missed a change, or since
-    /// its history was gone.
+    /// A whole table was read again, in case peers missed a change or because its change history
+    /// was gone.
     reading_again,
-    /// Whatever followed a call to the same table that failed.
+    /// Any call that followed a failed call on the same table.
     retry,
     claim,
 };
@@ -44,9 +44,9 @@
     return "-";
 }
 
-/// A model of `metadata_store` that passes every call on to another one and
-/// counts it by table and purpose. Calls are limited for all proxies together
-/// and paid for one by one, so that operators need to see what makes them.
+/// A `metadata_store` that forwards each call to another one and counts it by table and purpose.
+/// The store limits the calls of all proxies together and every call is paid for, so operators need
+/// to see what causes them.
 template <metadata_store Store>
 class counted_store {
 public:
@@ -59,46 +59,46 @@
     explicit counted_store(Store& store) : m_store{store} {}
 
     asio::awaitable<result<store_rows>> list(std::string table) {
-        const bool known = m_known[table];
-        add(table, known ? store_purpose::reading_again : store_purpose::first_reading);
+        const bool loaded = m_loaded[table];
+        count_call(table, loaded ? store_purpose::reading_again : store_purpose::first_reading);
         auto out = co_await m_store.list(table);
-        note(table, out.has_value());
-        m_known[table] = known || out.has_value();
+        record_outcome(table, out.has_value());
+        m_loaded[table] = loaded || out.has_value();
         co_return out;
     }
 
     asio::awaitable<result<store_rows>> changes(std::string table, std::uint64_t after,
                                                 std::chrono::milliseconds wait) {
-        add(table, store_purpose::waiting);
+        count_call(table, store_purpose::waiting);
         auto out = co_await m_store.changes(table, after, wait);
-        note(table, out.has_value() || out.error().code == errc::behind);
+        record_outcome(table, out.has_value() || out.error().code == errc::behind);
         co_return out;
     }
 
     asio::awaitable<result<store_row>> read(std::string table, std::string key) {
-        add(table, store_purpose::claim);
+        count_call(table, store_purpose::claim);
         co_return co_await m_store.read(std::move(table), std::move(key));
     }
 
     asio::awaitable<result<std::uint64_t>> write_if(std::string table, std::string key, std::string value,
                                                     std::uint64_t version) {
-        add(table, store_purpose::claim);
+        count_call(table, store_purpose::claim);
         co_return co_await m_store.write_if(std::move(table), std::move(key), std::move(value), version);
     }
 
     asio::awaitable<result<std::uint64_t>> write(std::string table, std::string key, std::string value) {
-        add(table, store_purpose::own_row);
+        count_call(table, store_purpose::own_row);
         auto out = co_await m_store.write(table, std::move(key), std::move(value));
-        note(table, out.has_value());
+        record_outcome(table, out.has_value());
         co_return out;
     }
 
     asio::awaitable<result<std::uint64_t>> remove(std::string table, std::string key) {
-        add(table, store_purpose::own_row);
+        count_call(table, store_purpose::own_row);
         co_return co_await m_store.remove(std::move(table), std::move(key));
     }
 
-    /// Calls so far, those that were never made left out; from any thread.
+    /// Calls so far; combinations that never occurred are left out. Callable from any thread.
     [[nodiscard]] std::vector<count> counts() const {
         const std::scoped_lock lock{m_mutex};
         std::vector<count> out;
@@ -109,19 +109,19 @@
     }
 
 private:
-    void add(const std::string& table, store_purpose why) {
+    void count_call(const std::string& table, store_purpose why) {
         const std::scoped_lock lock{m_mutex};
         ++m_calls[{table, m_failed[table] ? store_purpose::retry : why}];
     }
 
-    void note(const std::string& table, bool answered) {
+    void record_outcome(const std::string& table, bool answered) {
         const std::scoped_lock lock{m_mutex};
         m_failed[table] = !answered;
     }
 
     Store& m_store;
-    /// Tables that were read whole, and those whose last call failed.
-    std::map<std::string, bool, std::less<>> m_known;
+    /// Tables that have been read whole, and tables whose last call failed.
+    std::map<std::string, bool, std::less<>> m_loaded;
     std::map<std::string, bool, std::less<>> m_failed;
     mutable std::mutex m_mutex;
     std::map<std::pair<std::string, store_purpose>, std::uint64_t> m_calls;
--- a/src/cornellever/cluster/peer_traffic.hpp
+++ b/src/cornellever/cluster/peer_traffic.hpp
@@ -24,10 +24,9 @@
     return "-";
 }
 
-/// Messages of other proxies that arrived, by kind and by whether they came
-/// from this data centre: bytes between data centres are paid for. Counted
-/// where they arrive, since the sender does not look up where each goes.
-/// Readable from any thread.
+/// Counts received peer messages by kind and by whether they came from the same data centre,
+/// because traffic between data centres is paid for. They are counted on receipt: a sender does not
+/// look up the data centre of each target. Readable from any thread.
 class peer_traffic {
 public:
     static constexpr std::array kinds{peer_message::kind::question, peer_message::kind::answer,
@@ -52,14 +51,14 @@
         std::atomic<std::uint64_t> bytes{0};
     };
 
-    [[nodiscard]] static std::size_t place(peer_message::kind what, bool same_data_center) {
+    [[nodiscard]] static std::size_t index_of(peer_message::kind what, bool same_data_center) {
         return 2 * static_cast<std::size_t>(what) + (same_data_center ? 1 : 0);
     }
     [[nodiscard]] counter& of(peer_message::kind what, bool same_data_center) {
-        return m_counters.at(place(what, same_data_center));
+        return m_counters.at(index_of(what, same_data_center));
     }
     [[nodiscard]] const counter& of(peer_message::kind what, bool same_data_center) const {
-        return m_counters.at(place(what, same_data_center));
+        return m_counters.at(index_of(what, same_data_center));
     }
 
     std::array<counter, 2 * kinds.size()> m_counters;
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -18,44 +18,45 @@
 
 namespace cornellever::cluster {
 
-/// Where promotions are ordered. Errors: `fenced` (a higher token was seen, or
-/// the server does not run), `busy` and `unavailable` (not done), else
-/// `outcome_unknown`: the order may be carried out later.
+/// The platform interface that executes promotions. Errors: `fenced` (a higher fencing token was
+/// seen, or the server does not run), `busy` and `unavailable` (not executed); after
+/// `outcome_unknown` the order may still be executed later.
 template <typename T>
 concept promotion_orders = requires(T orders, std::string text, std::uint64_t token) {
     { orders.promote(text, text, text, token) } -> std::same_as<asio::awaitable<result<void>>>;
 };
 
-/// The servers of a service, as a promotion needs them.
+/// The servers of a service as a promotion accesses them.
 template <typename T>
-concept promotion_servers = requires(T servers, std::string text, std::chrono::milliseconds limit) {
-    /// A report of each registered server but the second argument's.
-    { servers.survey(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
-    /// Whether a server answers as the primary within `limit`.
-    { servers.leads_now(text, text, limit) } -> std::same_as<asio::awaitable<bool>>;
-    /// Whether a server leads, waiting up to `limit` for it.
-    { servers.await_lead(text, text, limit) } -> std::same_as<asio::awaitable<bool>>;
+concept promotion_servers = requires(T servers, std::string text, std::chrono::milliseconds timeout) {
+    /// A report for each registered server except the second argument's.
+    { servers.query_replicas(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
+    /// Whether a server confirms within `timeout` that it is the primary.
+    { servers.leads_now(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
+    /// Waits up to `timeout` for a server to become the primary; returns whether it did.
+    { servers.await_leadership(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
 };
 
-/// How a promotion ended.
+/// How a promotion ended: the final state of the chart, the event that led to it, and the server
+/// chosen.
 struct promotion_outcome {
     std::string state;
     std::string event;
     std::string successor;
 };
 
-/// Replaces a service's primary by the steps of a state chart.
+/// Replaces a service's primary by running a state chart.
 ///
-/// Any proxy may try. A row of the metadata store says whose turn it is: it is
-/// written on the condition that it is unchanged since it was read, and its new
-/// version is the fencing token of the order. So two proxies never order with
-/// the same token, and an order that was delayed, or comes from a proxy that
-/// was paused meanwhile, is refused once a later one was given.
+/// Any proxy may try. Mutual exclusion is by a claim row in the metadata store: it is written on
+/// the condition that it has not changed since it was read, and its new version becomes the fencing
+/// token of the promotion order. So two proxies never use the same token, and an order that was
+/// delayed, or that comes from a proxy that was paused meanwhile, is refused once a later order was
+/// executed.
 template <metadata_store Store, promotion_servers Servers, promotion_orders Orders>
 class promotion {
 public:
-    /// `holder` names this proxy to the platform; `claimant` also tells one
-    /// start of its process from another.
+    /// `holder` identifies this proxy to the platform; `claimant` also distinguishes incarnations
+    /// of its process.
     promotion(Store& store, Servers& servers, Orders& orders, const chart& steps, std::string holder,
               std::string claimant)
         : m_store{store}
@@ -65,22 +66,22 @@
         , m_holder{std::move(holder)}
         , m_claimant{std::move(claimant)} {}
 
-    /// Runs the chart once, to replace `old` (empty when no primary is known),
-    /// which has been judged lost or leaving for `judged_for`.
+    /// Runs the chart once to replace `old` (empty if no primary is known), which has been judged
+    /// lost or leaving for `judged_for`.
     asio::awaitable<promotion_outcome> run(std::string service, std::string old, primary_verdict why,
                                            boot_clock::time_point::duration judged_for = {}) {
-        attempt now{.service = std::move(service), .old = std::move(old), .why = why, .judged_for = judged_for};
+        attempt current{.service = std::move(service), .old = std::move(old), .why = why, .judged_for = judged_for};
         std::string state = m_steps.start();
         std::string event;
         while (!m_steps.action(state).empty()) {
-            event = co_await act(m_steps.action(state), now);
-            log_event(event::promotion_step, "service=" + now.service + " state=" + state + " event=" + event +
-                                                 " old=" + now.old + " successor=" + now.successor +
-                                                 " token=" + std::to_string(now.token));
+            event = co_await act(m_steps.action(state), current);
+            log_event(event::promotion_step, "service=" + current.service + " state=" + state + " event=" + event +
+                                                 " old=" + current.old + " successor=" + current.successor +
+                                                 " token=" + std::to_string(current.token));
             auto next = m_steps.next(state, event);
             state = next ? *next : std::string{"given_up"};
         }
-        co_return promotion_outcome{state, event, now.successor};
+        co_return promotion_outcome{state, event, current.successor};
     }
 
 private:
@@ -94,106 +95,107 @@
         int orders{0};
     };
 
-    /// A promotion takes about 1.2 s from the order to the lead; in that time
-    /// nobody else begins one for the same primary.
-    static constexpr std::chrono::milliseconds turn_lasts{2600};
-    static constexpr std::chrono::milliseconds lead_wait{1400};
-    /// How long a server that may hold the only log is waited for: longer than
-    /// most take to start again. Callers are refused meanwhile.
-    static constexpr std::chrono::milliseconds log_wait{5000};
-    /// A new connection (12 to 30 ms) and a question that takes no slot; a
-    /// primary that went dark costs this much of the gap (1.2 to 2.0 s).
-    static constexpr std::chrono::milliseconds look_limit{100};
-    /// An unanswered order may be carried out up to 12 s later; others get
-    /// their turn long before.
+    /// How long a claim excludes the other proxies from replacing the same primary. A promotion
+    /// takes about 1.2 s from the order until the new primary is confirmed.
+    static constexpr std::chrono::milliseconds claim_lease{2600};
+    static constexpr std::chrono::milliseconds leadership_timeout{1400};
+    /// How long to wait for a silent server that may hold the only log: longer than most servers
+    /// take to restart. Callers are refused meanwhile.
+    static constexpr std::chrono::milliseconds missing_log_wait{5000};
+    /// Allows for a new connection (12 to 30 ms) and a request that takes no slot. If the primary
+    /// does not answer at all, this adds to the write outage (1.2 to 2.0 s).
+    static constexpr std::chrono::milliseconds recheck_timeout{100};
+    /// An unanswered order may be executed up to 12 s later. This limit lets other proxies claim
+    /// the promotion long before that.
     static constexpr int max_orders = 3;
 
-    asio::awaitable<std::string> act(std::string_view action, attempt& now) {
-        if (action == "survey_replicas") {
-            co_return co_await survey(now);
+    asio::awaitable<std::string> act(std::string_view action, attempt& current) {
+        if (action == "query_replicas") {
+            co_return co_await query_replicas(current);
         }
-        if (action == "claim_turn") {
-            co_return co_await claim(now);
+        if (action == "write_claim") {
+            co_return co_await claim(current);
         }
-        if (action == "look_again") {
-            co_return co_await look_again(now);
+        if (action == "recheck_primary") {
+            co_return co_await recheck(current);
         }
         if (action == "order_promotion") {
-            co_return co_await order(now);
+            co_return co_await order(current);
         }
-        if (action == "await_lead") {
-            co_return co_await settle(now);
+        if (action == "await_leadership") {
+            co_return co_await await_leadership(current);
         }
         co_return "unknown_action";
     }
 
-    asio::awaitable<std::string> survey(attempt& now) {
-        const auto reports = co_await m_servers.survey(now.service, now.old);
-        const auto leading = std::ranges::find_if(reports, [](const auto& item) { return item.leads; });
-        if (leading != reports.end() && !lacks_entries_of(*leading, reports)) {
-            now.successor = leading->id;
+    asio::awaitable<std::string> query_replicas(attempt& current) {
+        const auto reports = co_await m_servers.query_replicas(current.service, current.old);
+        const auto existing = std::ranges::find_if(reports, [](const auto& item) { return item.is_primary; });
+        if (existing != reports.end() && !lacks_entries_of(*existing, reports)) {
+            current.successor = existing->id;
             co_return "leads_already";
         }
-        const auto chosen = choose_successor(reports, now.why);
+        const auto chosen = choose_successor(reports, current.why);
         if (!chosen) {
             const bool any = std::ranges::any_of(reports, &replica_report::answered);
             co_return any ? "all_leave" : "none_answered";
         }
-        if (may_hold_only_log(reports) && now.judged_for < log_wait) {
+        if (may_hold_only_log(reports) && current.judged_for < missing_log_wait) {
             co_return "none_answered";
         }
-        now.successor = chosen->id;
+        current.successor = chosen->id;
         co_return "chosen";
     }
 
-    asio::awaitable<std::string> claim(attempt& now) {
-        auto row = co_await m_store.read(std::string{claims_table}, now.service);
+    asio::awaitable<std::string> claim(attempt& current) {
+        auto row = co_await m_store.read(std::string{claims_table}, current.service);
         if (!row) {
             co_return "store_unreachable";
         }
         const auto before = decode_claim(row->value);
-        if (before && before->replaces == now.old && before->holder != m_claimant &&
-            row->store_time - before->at < turn_lasts) {
+        if (before && before->replaces == current.old && before->holder != m_claimant &&
+            row->store_time - before->at < claim_lease) {
             co_return "held_by_other";
         }
-        const promotion_claim mine{m_claimant, now.old, now.successor, ++m_claims, row->store_time};
-        auto written = co_await m_store.write_if(std::string{claims_table}, now.service, encode(mine), row->version);
+        const promotion_claim mine{m_claimant, current.old, current.successor, ++m_claims, row->store_time};
+        auto written =
+            co_await m_store.write_if(std::string{claims_table}, current.service, encode(mine), row->version);
         if (written) {
-            now.token = *written;
+            current.token = *written;
             co_return "claimed";
         }
         if (written.error().code == errc::conflict) {
             co_return "held_by_other";
         }
-        // The answer was lost, perhaps after the row was written; the row
-        // tells, since no other claim has this holder and number.
-        auto after = co_await m_store.read(std::string{claims_table}, now.service);
+        // The response was lost, perhaps after the row was written. The row shows which: no other
+        // claim has this holder and number.
+        auto after = co_await m_store.read(std::string{claims_table}, current.service);
         if (!after) {
             co_return "store_unreachable";
         }
         const auto found = decode_claim(after->value);
         if (found && found->holder == m_claimant && found->number == mine.number) {
-            now.token = after->version;
+            current.token = after->version;
             co_return "claimed";
         }
         co_return "held_by_other";
     }
 
-    /// A partition that ends during the attempt shows a primary that is well:
-    /// the evidence against it is from before the claim, which may have taken
-    /// as long as the store could not be reached. Ordered all the same, the
-    /// promotion would roll back what others wrote at the primary meanwhile.
-    asio::awaitable<std::string> look_again(attempt& now) {
-        if (now.why != primary_verdict::lost || now.old.empty()) {
+    /// A network partition that ends during the attempt leaves a healthy primary: the evidence
+    /// against it is from before the claim, which may have taken as long as the store was
+    /// unreachable. Promoting a replica then would roll back what others wrote at the primary
+    /// meanwhile.
+    asio::awaitable<std::string> recheck(attempt& current) {
+        if (current.why != primary_verdict::lost || current.old.empty()) {
             co_return "gone";
         }
-        const bool leads = co_await m_servers.leads_now(now.service, now.old, look_limit);
-        co_return leads ? "leads_still" : "gone";
+        const bool confirmed = co_await m_servers.leads_now(current.service, current.old, recheck_timeout);
+        co_return confirmed ? "leads_still" : "gone";
     }
 
-    asio::awaitable<std::string> order(attempt& now) {
-        ++now.orders;
-        auto done = co_await m_orders.promote(now.service, now.successor, m_holder, now.token);
+    asio::awaitable<std::string> order(attempt& current) {
+        ++current.orders;
+        auto done = co_await m_orders.promote(current.service, current.successor, m_holder, current.token);
         if (done) {
             co_return "accepted";
         }
@@ -203,16 +205,17 @@
         co_return "unanswered";
     }
 
-    asio::awaitable<std::string> settle(attempt& now) {
-        const bool leads = co_await m_servers.await_lead(now.service, now.successor, lead_wait);
-        if (leads) {
+    asio::awaitable<std::string> await_leadership(attempt& current) {
+        const bool confirmed =
+            co_await m_servers.await_leadership(current.service, current.successor, leadership_timeout);
+        if (confirmed) {
             co_return "leads";
         }
-        if (now.orders >= max_orders) {
+        if (current.orders >= max_orders) {
             co_return "too_late";
         }
-        auto row = co_await m_store.read(std::string{claims_table}, now.service);
-        if (row && row->version != now.token) {
+        auto row = co_await m_store.read(std::string{claims_table}, current.service);
+        if (row && row->version != current.token) {
             co_return "superseded";
         }
         co_return "not_yet";
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -17,32 +17,31 @@
 
 namespace cornellever::cluster {
 
-/// What the traffic side sees of one service.
-struct service_sight {
+/// This proxy's observation of one service.
+struct service_observation {
     std::string service;
     routing::primary_sight primary;
     std::optional<routing::freshness_sample> sample;
 };
 
-/// What a peer saw of one service's primary, in this proxy's own time.
-struct peer_sight {
+/// A peer's observation of one service's primary, with times on this proxy's clock.
+struct peer_observation {
     std::string service;
-    /// Empty when the peer does not reach it.
+    /// Empty if the peer does not reach it.
     std::string primary;
     boot_clock::time_point confirmed_at;
     std::optional<routing::freshness_sample> sample;
-    /// The peer, and when it last heard that primary.
+    /// The peer, and when the primary last answered it.
     session::proxy_place peer;
     boot_clock::time_point heard_at;
-    /// The server that the peer reports on, and the furthest position that it
-    /// is known to have named while it led.
+    /// The server that the peer reports on, and the highest log position that it is known to have
+    /// reported as the primary.
     std::string reported;
     std::optional<sql::log_position> furthest;
 };
 
-/// The traffic side as the control side uses it: every call is carried out on
-/// the traffic thread, its answer comes back to the caller's. A model of
-/// `promotion_servers`.
+/// The control plane's access to the traffic side: every call runs on the traffic thread, and its
+/// result is returned on the caller's. A model of `promotion_servers`.
 template <routing::link_connector Connector>
 class traffic_bridge {
 public:
@@ -65,77 +64,79 @@
         });
     }
 
-    void take(std::vector<peer_sight> seen) {
-        asio::post(m_executor, [this, seen = std::move(seen)] {
-            for (const auto& item : seen) {
-                take_one(item);
+    void update_observations(std::vector<peer_observation> received) {
+        asio::post(m_executor, [this, received = std::move(received)] {
+            for (const auto& item : received) {
+                apply_observation(item);
             }
         });
     }
 
-    asio::awaitable<std::vector<service_sight>> sights() {
-        return asio::co_spawn(m_executor, collect(), asio::use_awaitable);
+    asio::awaitable<std::vector<service_observation>> observations() {
+        return asio::co_spawn(m_executor, collect_observations(), asio::use_awaitable);
     }
 
-    /// Runs `tell` on the traffic thread.
-    asio::awaitable<Json::Value> describe(std::function<Json::Value()> tell) {
-        return asio::co_spawn(m_executor, run(std::move(tell)), asio::use_awaitable);
+    /// Runs `produce` on the traffic thread.
+    asio::awaitable<Json::Value> describe(std::function<Json::Value()> produce) {
+        return asio::co_spawn(m_executor, run(std::move(produce)), asio::use_awaitable);
     }
 
-    asio::awaitable<std::vector<replica_report>> survey(std::string service, std::string old) {
-        return asio::co_spawn(m_executor, ask_all(std::move(service), std::move(old)), asio::use_awaitable);
+    asio::awaitable<std::vector<replica_report>> query_replicas(std::string service, std::string old) {
+        return asio::co_spawn(m_executor, query_all(std::move(service), std::move(old)), asio::use_awaitable);
     }
 
-    asio::awaitable<bool> await_lead(std::string service, std::string id, std::chrono::milliseconds limit) {
-        return asio::co_spawn(m_executor, wait_for(std::move(service), std::move(id), limit), asio::use_awaitable);
+    asio::awaitable<bool> await_leadership(std::string service, std::string id, std::chrono::milliseconds timeout) {
+        return asio::co_spawn(m_executor, poll_for_leadership(std::move(service), std::move(id), timeout),
+                              asio::use_awaitable);
     }
 
-    asio::awaitable<bool> leads_now(std::string service, std::string id, std::chrono::milliseconds limit) {
-        return asio::co_spawn(m_executor, ask_lead(std::move(service), std::move(id), limit), asio::use_awaitable);
+    asio::awaitable<bool> leads_now(std::string service, std::string id, std::chrono::milliseconds timeout) {
+        return asio::co_spawn(m_executor, confirm_primary(std::move(service), std::move(id), timeout),
+                              asio::use_awaitable);
     }
 
 private:
     using pool = typename traffic::pool;
 
-    /// Answers to a survey, filled in by one coroutine a server.
-    struct survey_state {
-        explicit survey_state(const asio::any_io_executor& executor) : done{executor} {}
+    /// Replies of the servers queried, filled in by one coroutine a server.
+    struct query_state {
+        explicit query_state(const asio::any_io_executor& executor) : done{executor} {}
 
         std::vector<replica_report> reports;
         std::size_t pending{0};
         asio::steady_timer done;
     };
 
-    /// A server that answers at all does so in a few round trips, unless its
-    /// two slots are taken by long statements.
-    static constexpr std::chrono::milliseconds survey_limit{450};
+    /// A server that answers at all does so within a few round trips, unless long statements take
+    /// both of its slots.
+    static constexpr std::chrono::milliseconds query_timeout{450};
     static constexpr std::chrono::milliseconds probe_period{50};
 
-    static asio::awaitable<Json::Value> run(std::function<Json::Value()> tell) { co_return tell(); }
+    static asio::awaitable<Json::Value> run(std::function<Json::Value()> produce) { co_return produce(); }
 
-    void take_one(const peer_sight& seen) {
-        if (!seen.primary.empty()) {
-            m_host.note_path(seen.service, seen.peer, seen.heard_at);
+    void apply_observation(const peer_observation& received) {
+        if (!received.primary.empty()) {
+            m_host.note_path(received.service, received.peer, received.heard_at);
         }
-        if (seen.furthest) {
-            m_host.note_told(seen.service, {seen.reported, *seen.furthest});
+        if (received.furthest) {
+            m_host.note_told(received.service, {received.reported, *received.furthest});
         }
-        const auto found = m_host.pools().find(seen.service);
+        const auto found = m_host.pools().find(received.service);
         if (found == m_host.pools().end()) {
             return;
         }
-        if (seen.sample) {
-            found->second->add_sample(*seen.sample);
+        if (received.sample) {
+            found->second->add_sample(*received.sample);
         }
-        if (!seen.primary.empty()) {
-            found->second->believe(seen.primary, seen.confirmed_at);
+        if (!received.primary.empty()) {
+            found->second->believe(received.primary, received.confirmed_at);
         }
     }
 
-    asio::awaitable<std::vector<service_sight>> collect() {
-        std::vector<service_sight> out;
+    asio::awaitable<std::vector<service_observation>> collect_observations() {
+        std::vector<service_observation> out;
         for (const auto& [name, backends] : m_host.pools()) {
-            // What was not used has not been looked at.
+            // An unused service has not been observed.
             if (!backends->used()) {
                 continue;
             }
@@ -146,15 +147,15 @@
         co_return out;
     }
 
-    asio::awaitable<void> ask_one(pool& backends, std::string id, bool draining, std::shared_ptr<survey_state> into) {
-        auto answer = co_await backends.ask(id, sql::own(sql::statement_kind::status), survey_limit);
+    asio::awaitable<void> query_one(pool& backends, std::string id, bool draining, std::shared_ptr<query_state> into) {
+        auto answer = co_await backends.ask(id, sql::own(sql::statement_kind::status), query_timeout);
         replica_report report{.id = id, .received = {}, .draining = draining, .answered = answer.has_value()};
         if (answer) {
             if (const auto status = Connector::status_of(*answer)) {
                 report.received = status->received;
-                report.leads = status->leads;
+                report.is_primary = status->leads;
             } else if (answer->position) {
-                // Too busy to tell; what it has applied it has received.
+                // The server is too busy to give its status. What it has applied, it has received.
                 report.received = *answer->position;
             }
         }
@@ -164,10 +165,10 @@
         }
     }
 
-    asio::awaitable<std::vector<replica_report>> ask_all(std::string service, std::string old) {
+    asio::awaitable<std::vector<replica_report>> query_all(std::string service, std::string old) {
         auto& backends = m_host.pool_for(service);
-        auto state = std::make_shared<survey_state>(m_executor);
-        state->done.expires_after(survey_limit);
+        auto state = std::make_shared<query_state>(m_executor);
+        state->done.expires_after(query_timeout);
         std::vector<std::pair<std::string, bool>> servers;
         for (const auto& [id, at] : backends.entries()) {
             if (id != old) {
@@ -176,7 +177,7 @@
         }
         state->pending = servers.size();
         for (const auto& [id, draining] : servers) {
-            asio::co_spawn(m_executor, ask_one(backends, id, draining, state), asio::detached);
+            asio::co_spawn(m_executor, query_one(backends, id, draining, state), asio::detached);
         }
         if (!servers.empty()) {
             boost::system::error_code ignored;
@@ -191,17 +192,17 @@
         co_return reports;
     }
 
-    asio::awaitable<bool> ask_lead(std::string service, std::string id, std::chrono::milliseconds limit) {
-        co_return co_await m_host.pool_for(service).leads_now(std::move(id), limit);
+    asio::awaitable<bool> confirm_primary(std::string service, std::string id, std::chrono::milliseconds timeout) {
+        co_return co_await m_host.pool_for(service).leads_now(std::move(id), timeout);
     }
 
-    asio::awaitable<bool> wait_for(std::string service, std::string id, std::chrono::milliseconds limit) {
+    asio::awaitable<bool> poll_for_leadership(std::string service, std::string id, std::chrono::milliseconds timeout) {
         auto& backends = m_host.pool_for(service);
         const auto begun = boot_clock::now();
-        while (boot_clock::now() - begun < limit) {
+        while (boot_clock::now() - begun < timeout) {
             co_await backends.probe(id);
-            const auto sight = backends.sight();
-            if (sight.id == id && sight.confirmed_at >= begun) {
+            const auto observed = backends.sight();
+            if (observed.id == id && observed.confirmed_at >= begun) {
                 co_return true;
             }
             co_await sleep_for(probe_period);
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -5,7 +5,7 @@
 
 #include "cornellever/accounts/authorizer.hpp"
 #include "cornellever/cluster/snapshot.hpp"
-#include "cornellever/cluster/table_news.hpp"
+#include "cornellever/cluster/table_freshness.hpp"
 #include "cornellever/session/describe.hpp"
 #include "proxy_in_memory.hpp"
 
@@ -186,20 +186,20 @@
     constexpr int actions = 5;
     struct proxy {
         std::uint64_t version{1};
-        cluster::table_news state;
+        cluster::table_freshness state;
         accounts::configuration_lease lease{bound};
-        void confirm_current() { lease.confirm_current(state.current_at()); }
+        void confirm_current() { lease.confirm_current(state.confirmed_current_at()); }
     };
     const auto read_store = [](proxy& one, std::uint64_t newest, boot_clock::time_point asked) {
         one.version = newest;
-        one.state.note_current(asked);
+        one.state.mark_current(asked);
         one.confirm_current();
     };
     const auto receive_heartbeat = [](proxy& one, const proxy& other, boot_clock::time_point asked,
                                       boot_clock::time_point now) {
-        if (other.state.current_at() != boot_clock::time_point{}) {
-            const auto age = asked - other.state.current_at();
-            one.state.hear(other.version, one.version, asked - age, now);
+        if (other.state.confirmed_current_at() != boot_clock::time_point{}) {
+            const auto age = asked - other.state.confirmed_current_at();
+            one.state.note_peer_version(other.version, one.version, asked - age, now);
         }
         one.confirm_current();
     };
