--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -24,18 +24,18 @@
                      .registry_age = age_of(followed::servers),
                      .store_reachable = m_store_reachable()};
     for (const auto& [name, seen] : m_sights) {
-        const auto& sight = seen.primary;
-        if (sight.id.empty()) {
+        const auto& observation = seen.primary;
+        if (observation.id.empty()) {
             continue;
         }
         primary_report report{.service = name,
-                              .primary = sight.id,
-                              .confirmed_age = age(sight.confirmed_at),
-                              .heard_age = age(sight.heard_at),
-                              .unreachable = sight.unreachable,
-                              .refused = sight.refused,
-                              .log_lost = sight.log_lost,
-                              .furthest = sight.furthest};
+                              .primary = observation.id,
+                              .confirmed_age = age(observation.leadership_confirmed_at),
+                              .heard_age = age(observation.last_contact_at),
+                              .unreachable = observation.unreachable,
+                              .refused = observation.refused,
+                              .log_lost = observation.log_lost,
+                              .highest_position = observation.highest_position};
         if (what == peer_message::kind::answer && seen.sample) {
             report.sample = aged_sample{age(seen.sample->asked_at), seen.sample->position};
         }
@@ -186,17 +186,17 @@
     const session::proxy_place peer{message.sender, message.data_center, {from.address(), m_settings.sessions.port()}};
     std::vector<peer_sight> seen;
     for (const auto& item : message.primaries) {
-        peer_sight sight{.service = item.service,
-                         .primary = item.unreachable ? std::string{} : item.primary,
-                         .confirmed_at = counted_from - item.confirmed_age,
-                         .peer = peer,
-                         .heard_at = counted_from - item.heard_age,
-                         .reported = item.primary,
-                         .furthest = item.furthest};
+        peer_sight observation{.service = item.service,
+                               .primary = item.unreachable ? std::string{} : item.primary,
+                               .leadership_confirmed_at = counted_from - item.confirmed_age,
+                               .peer = peer,
+                               .last_contact_at = counted_from - item.heard_age,
+                               .reported = item.primary,
+                               .highest_position = item.highest_position};
         if (item.sample) {
-            sight.sample = routing::freshness_sample{counted_from - item.sample->age, item.sample->position};
+            observation.sample = routing::freshness_sample{counted_from - item.sample->age, item.sample->position};
         }
-        seen.push_back(std::move(sight));
+        seen.push_back(std::move(observation));
     }
     if (!seen.empty()) {
         m_bridge.take(std::move(seen));
@@ -206,8 +206,8 @@
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 bool control<Store, Orders, Connector>::suspicious() const {
     return std::ranges::any_of(m_sights, [](const auto& item) {
-        const auto& sight = item.second.primary;
-        return sight.unreachable || sight.id.empty();
+        const auto& observation = item.second.primary;
+        return observation.unreachable || observation.id.empty();
     });
 }
 
--- a/src/cornellever/cluster/control_primaries.ipp
+++ b/src/cornellever/cluster/control_primaries.ipp
@@ -41,8 +41,9 @@
         evidence.entry.missing_for = m_registry.missing_for(at.primary, now);
     }
     if (seen != nullptr && seen->primary.id == at.primary) {
-        const auto& sight = seen->primary;
-        evidence.own = primary_view{age(sight.heard_at), sight.unreachable, sight.refused, sight.log_lost};
+        const auto& observation = seen->primary;
+        evidence.own = primary_view{age(observation.last_contact_at), observation.unreachable, observation.refused,
+                                    observation.log_lost};
     }
     for (const auto& [report, counted_from] : heard) {
         if (report->primary == at.primary) {
@@ -122,11 +123,12 @@
     if (verdict != at.verdict) {
         at.verdict = verdict;
         at.judged_since = now;
-        log_event(event::primary_judged,
-                  "service=" + service + " primary=" + at.primary + " verdict=" + std::string{to_string(verdict)} +
-                      " peers=" + std::to_string(views.size()) +
-                      (seen != nullptr && seen->primary.log_lost ? " log_lost=1" : "") +
-                      (seen != nullptr ? " heard_ms=" + std::to_string(to_ms(now - seen->primary.heard_at)) : ""));
+        log_event(
+            event::primary_judged,
+            "service=" + service + " primary=" + at.primary + " verdict=" + std::string{to_string(verdict)} +
+                " peers=" + std::to_string(views.size()) +
+                (seen != nullptr && seen->primary.log_lost ? " log_lost=1" : "") +
+                (seen != nullptr ? " heard_ms=" + std::to_string(to_ms(now - seen->primary.last_contact_at)) : ""));
     }
     if (verdict == primary_verdict::fine || now - at.judged_since < turn_delay(service)) {
         return;
--- a/src/cornellever/cluster/peer_message.cpp
+++ b/src/cornellever/cluster/peer_message.cpp
@@ -132,9 +132,9 @@
         out.sample = sample;
     }
     if (flags.find(furthest_given) != std::string_view::npos) {
-        out.furthest = read_position(words);
+        out.highest_position = read_position(words);
     } else if (out.sample && flags.find(furthest_as_sample) != std::string_view::npos) {
-        out.furthest = out.sample->position;
+        out.highest_position = out.sample->position;
     }
     return out;
 }
@@ -179,13 +179,13 @@
     out.word(item.primary.empty() ? "-" : item.primary);
     out.number(item.confirmed_age.count());
     out.number(item.heard_age.count());
-    const bool as_sample = item.furthest && item.sample && item.sample->position == *item.furthest;
+    const bool as_sample = item.highest_position && item.sample && item.sample->position == *item.highest_position;
     std::string flags{"."};
     flags += item.unreachable ? "u" : "";
     flags += item.refused ? "r" : "";
     flags += item.log_lost ? "l" : "";
     flags += item.sample ? "s" : "";
-    if (item.furthest) {
+    if (item.highest_position) {
         flags += as_sample ? furthest_as_sample : furthest_given;
     }
     out.word(flags);
@@ -193,8 +193,8 @@
         out.number(item.sample->age.count());
         write_position(out, item.sample->position);
     }
-    if (item.furthest && !as_sample) {
-        write_position(out, *item.furthest);
+    if (item.highest_position && !as_sample) {
+        write_position(out, *item.highest_position);
     }
 }
 
--- a/src/cornellever/cluster/peer_message.hpp
+++ b/src/cornellever/cluster/peer_message.hpp
@@ -34,7 +34,7 @@
     std::optional<aged_sample> sample{};
     /// The furthest position that it is known to have named while it led, so
     /// that a proxy that has just started can tell whether its log got shorter.
-    std::optional<sql::log_position> furthest{};
+    std::optional<sql::log_position> highest_position{};
 };
 
 /// Another proxy that the sender heard of, and how long ago it was alive.
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -32,7 +32,7 @@
     /// A report of each registered server but the second argument's.
     { servers.survey(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
     /// Whether a server answers as the primary within `limit`.
-    { servers.leads_now(text, text, limit) } -> std::same_as<asio::awaitable<bool>>;
+    { servers.is_primary_now(text, text, limit) } -> std::same_as<asio::awaitable<bool>>;
     /// Whether a server leads, waiting up to `limit` for it.
     { servers.await_lead(text, text, limit) } -> std::same_as<asio::awaitable<bool>>;
 };
@@ -129,7 +129,7 @@
 
     asio::awaitable<std::string> survey(attempt& now) {
         const auto reports = co_await m_servers.survey(now.service, now.old);
-        const auto leading = std::ranges::find_if(reports, [](const auto& item) { return item.leads; });
+        const auto leading = std::ranges::find_if(reports, [](const auto& item) { return item.is_primary; });
         if (leading != reports.end() && !lacks_entries_of(*leading, reports)) {
             now.successor = leading->id;
             co_return "leads_already";
@@ -187,8 +187,8 @@
         if (now.why != primary_verdict::lost || now.old.empty()) {
             co_return "gone";
         }
-        const bool leads = co_await m_servers.leads_now(now.service, now.old, look_limit);
-        co_return leads ? "leads_still" : "gone";
+        const bool is_primary = co_await m_servers.is_primary_now(now.service, now.old, look_limit);
+        co_return is_primary ? "leads_still" : "gone";
     }
 
     asio::awaitable<std::string> order(attempt& now) {
@@ -204,8 +204,8 @@
     }
 
     asio::awaitable<std::string> settle(attempt& now) {
-        const bool leads = co_await m_servers.await_lead(now.service, now.successor, lead_wait);
-        if (leads) {
+        const bool is_primary = co_await m_servers.await_lead(now.service, now.successor, lead_wait);
+        if (is_primary) {
             co_return "leads";
         }
         if (now.orders >= max_orders) {
--- a/src/cornellever/cluster/snapshot.cpp
+++ b/src/cornellever/cluster/snapshot.cpp
@@ -85,7 +85,7 @@
     out["address"] = to_string(server.address);
     out["data_center"] = server.data_center;
     out["slots"] = static_cast<Json::UInt64>(server.slots);
-    out["born_ms"] = static_cast<Json::UInt64>(server.born_ms);
+    out["born_ms"] = static_cast<Json::UInt64>(server.started_at_ms);
     out["draining"] = server.draining;
     out["primary"] = server.role == routing::server_role::primary;
     return out;
@@ -100,7 +100,7 @@
     }
     out.data_center = text_field(from, "data_center");
     out.slots = uint_field(from, "slots");
-    out.born_ms = uint_field(from, "born_ms");
+    out.started_at_ms = uint_field(from, "born_ms");
     out.draining = from["draining"].isBool() && from["draining"].asBool();
     const bool primary = from["primary"].isBool() && from["primary"].asBool();
     out.role = primary ? routing::server_role::primary : routing::server_role::replica;
--- a/src/cornellever/cluster/successor.hpp
+++ b/src/cornellever/cluster/successor.hpp
@@ -16,7 +16,7 @@
     sql::log_position received;
     bool draining{false};
     /// It leads already: somebody else's promotion took effect.
-    bool leads{false};
+    bool is_primary{false};
     /// Nothing else is known of one that did not answer in time.
     bool answered{true};
 };
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -20,7 +20,7 @@
 /// What the traffic side sees of one service.
 struct service_sight {
     std::string service;
-    routing::primary_sight primary;
+    routing::primary_observation primary;
     std::optional<routing::freshness_sample> sample;
 };
 
@@ -29,15 +29,15 @@
     std::string service;
     /// Empty when the peer does not reach it.
     std::string primary;
-    boot_clock::time_point confirmed_at;
+    boot_clock::time_point leadership_confirmed_at;
     std::optional<routing::freshness_sample> sample;
     /// The peer, and when it last heard that primary.
     session::proxy_place peer;
-    boot_clock::time_point heard_at;
+    boot_clock::time_point last_contact_at;
     /// The server that the peer reports on, and the furthest position that it
     /// is known to have named while it led.
     std::string reported;
-    std::optional<sql::log_position> furthest;
+    std::optional<sql::log_position> highest_position;
 };
 
 /// The traffic side as the control side uses it: every call is carried out on
@@ -90,7 +90,7 @@
         return asio::co_spawn(m_executor, wait_for(std::move(service), std::move(id), limit), asio::use_awaitable);
     }
 
-    asio::awaitable<bool> leads_now(std::string service, std::string id, std::chrono::milliseconds limit) {
+    asio::awaitable<bool> is_primary_now(std::string service, std::string id, std::chrono::milliseconds limit) {
         return asio::co_spawn(m_executor, ask_lead(std::move(service), std::move(id), limit), asio::use_awaitable);
     }
 
@@ -115,10 +115,10 @@
 
     void take_one(const peer_sight& seen) {
         if (!seen.primary.empty()) {
-            m_host.note_path(seen.service, seen.peer, seen.heard_at);
+            m_host.note_path(seen.service, seen.peer, seen.last_contact_at);
         }
-        if (seen.furthest) {
-            m_host.note_told(seen.service, {seen.reported, *seen.furthest});
+        if (seen.highest_position) {
+            m_host.note_reported_position(seen.service, {seen.reported, *seen.highest_position});
         }
         const auto found = m_host.pools().find(seen.service);
         if (found == m_host.pools().end()) {
@@ -128,7 +128,7 @@
             found->second->add_sample(*seen.sample);
         }
         if (!seen.primary.empty()) {
-            found->second->believe(seen.primary, seen.confirmed_at);
+            found->second->accept_peer_confirmation(seen.primary, seen.leadership_confirmed_at);
         }
     }
 
@@ -140,19 +140,19 @@
                 continue;
             }
             const auto* newest = backends->floor().newest();
-            out.push_back({name, backends->sight(),
+            out.push_back({name, backends->observation(),
                            newest == nullptr ? std::nullopt : std::optional<routing::freshness_sample>{*newest}});
         }
         co_return out;
     }
 
     asio::awaitable<void> ask_one(pool& backends, std::string id, bool draining, std::shared_ptr<survey_state> into) {
-        auto answer = co_await backends.ask(id, sql::own(sql::statement_kind::status), survey_limit);
+        auto answer = co_await backends.ask(id, sql::proxy_command(sql::statement_kind::status), survey_limit);
         replica_report report{.id = id, .received = {}, .draining = draining, .answered = answer.has_value()};
         if (answer) {
             if (const auto status = Connector::status_of(*answer)) {
                 report.received = status->received;
-                report.leads = status->leads;
+                report.is_primary = status->is_primary;
             } else if (answer->position) {
                 // Too busy to tell; what it has applied it has received.
                 report.received = *answer->position;
@@ -192,7 +192,7 @@
     }
 
     asio::awaitable<bool> ask_lead(std::string service, std::string id, std::chrono::milliseconds limit) {
-        co_return co_await m_host.pool_for(service).leads_now(std::move(id), limit);
+        co_return co_await m_host.pool_for(service).is_primary_now(std::move(id), limit);
     }
 
     asio::awaitable<bool> wait_for(std::string service, std::string id, std::chrono::milliseconds limit) {
@@ -200,8 +200,8 @@
         const auto begun = boot_clock::now();
         while (boot_clock::now() - begun < limit) {
             co_await backends.probe(id);
-            const auto sight = backends.sight();
-            if (sight.id == id && sight.confirmed_at >= begun) {
+            const auto observation = backends.observation();
+            if (observation.id == id && observation.leadership_confirmed_at >= begun) {
                 co_return true;
             }
             co_await sleep_for(probe_period);
--- a/src/cornellever/routing/admission.cpp
+++ b/src/cornellever/routing/admission.cpp
@@ -26,13 +26,13 @@
 
 std::chrono::milliseconds expected_wait(const load_view& load) {
     const auto lanes = static_cast<double>(std::max<std::size_t>(1, load.connections));
-    return in_ms(load.typical * static_cast<double>(load.ahead) / lanes);
+    return in_ms(load.statement_time * static_cast<double>(load.ahead) / lanes);
 }
 
 } // namespace
 
 std::chrono::milliseconds patience(const load_view& load, const time_limits& limits) {
-    return std::min(limits.left, limits.target) - in_ms(load.typical * room_to_run);
+    return std::min(limits.left, limits.target) - in_ms(load.statement_time * room_to_run);
 }
 
 admission_decision admit(const load_view& load, const time_limits& limits) {
@@ -52,8 +52,8 @@
     return {.admitted = true, .wait = patience, .retry_after = without_primary_retry};
 }
 
-bool worth_starting(const load_view& load, std::chrono::milliseconds left) {
-    return left > in_ms(load.typical);
+bool has_time_to_run(const load_view& load, std::chrono::milliseconds left) {
+    return left > in_ms(load.statement_time);
 }
 
 } // namespace cornellever::routing
--- a/src/cornellever/routing/admission.hpp
+++ b/src/cornellever/routing/admission.hpp
@@ -13,7 +13,7 @@
     /// Statements that this proxy runs at a time at servers that could serve it.
     std::size_t connections{0};
     /// How long one statement takes there.
-    std::chrono::duration<double, std::milli> typical{10.0};
+    std::chrono::duration<double, std::milli> statement_time{10.0};
 };
 
 /// What bounds a request's wait.
@@ -49,6 +49,6 @@
 /// Whether a request that got its turn still has the time to run: one that is
 /// begun too late ends by its timeout, its answer is thrown away and its
 /// connection with it.
-[[nodiscard]] bool worth_starting(const load_view& load, std::chrono::milliseconds left);
+[[nodiscard]] bool has_time_to_run(const load_view& load, std::chrono::milliseconds left);
 
 } // namespace cornellever::routing
--- a/src/cornellever/routing/backend_link.hpp
+++ b/src/cornellever/routing/backend_link.hpp
@@ -41,11 +41,11 @@
                                 boot_clock::time_point until) {
     /// Sends a batch and waits for the answer to number `wanted` of it.
     { link.exchange(batch, wanted, until) } -> std::same_as<asio::awaitable<link_reply>>;
-    /// Sends a batch whose answers `settle` awaits; false when the connection
+    /// Sends a batch whose answers `await_pending` awaits; false when the connection
     /// was broken before.
     { link.post(batch) } -> std::same_as<bool>;
     /// Waits for the answers still owed; yields the last of them.
-    { link.settle(until) } -> std::same_as<asio::awaitable<link_reply>>;
+    { link.await_pending(until) } -> std::same_as<asio::awaitable<link_reply>>;
     { link.usable() } -> std::same_as<bool>;
     {link.close()};
 };
--- a/src/cornellever/routing/connection_lease.hpp
+++ b/src/cornellever/routing/connection_lease.hpp
@@ -31,7 +31,7 @@
     explicit operator bool() const noexcept { return m_slot != nullptr; }
     slot* operator->() const noexcept { return m_slot; }
     slot& operator*() const noexcept { return *m_slot; }
-    [[nodiscard]] const backend_server& server() const noexcept { return m_slot->home->server; }
+    [[nodiscard]] const backend_server& server() const noexcept { return m_slot->server_entry->server; }
 
     /// Hands the connection back. Answers still owed are awaited first.
     void release() { m_pool->take_back(*std::exchange(m_slot, nullptr)); }
--- a/src/cornellever/routing/lead_doubt.hpp
+++ b/src/cornellever/routing/lead_doubt.hpp
@@ -10,7 +10,7 @@
 /// Doubts about a server's lead. One that accepts transactions as the primary
 /// and refuses their writes would otherwise be taken for the primary again as
 /// soon as it refused, by each proxy and for each waiting statement.
-class lead_doubt {
+class leadership_backoff {
 public:
     using time_point = boot_clock::time_point;
 
@@ -25,7 +25,7 @@
     void clear() { m_refused_at = {}; }
 
     /// Whether a proof of its lead that was asked for at `asked_at` counts.
-    [[nodiscard]] bool admits(time_point asked_at) const {
+    [[nodiscard]] bool accepts_confirmation(time_point asked_at) const {
         return m_refused_at == time_point{} || asked_at >= m_refused_at + m_pause;
     }
 
--- a/src/cornellever/routing/leader_log.hpp
+++ b/src/cornellever/routing/leader_log.hpp
@@ -16,7 +16,7 @@
 /// no shorter. Positions of different servers are not compared: one that was
 /// promoted may lack commits, which are rolled back then and which nobody is
 /// owed.
-class leader_log {
+class log_high_water_mark {
 public:
     using time_point = boot_clock::time_point;
 
@@ -31,14 +31,14 @@
 
     /// Another proxy knows that `server` had come to `position` while it led. It
     /// may not have noticed yet that another server leads now.
-    void note_told(const std::string& server, const sql::log_position& position, time_point now) {
+    void note_reported_position(const std::string& server, const sql::log_position& position, time_point now) {
         if (m_server.empty() || m_server == server) {
             note(server, position, now);
         }
     }
 
     /// `server` leads, wherever its log is: what another had named counts no more.
-    void note_leader(const std::string& server) {
+    void set_primary(const std::string& server) {
         if (m_server != server) {
             m_server = server;
             m_furthest.reset();
@@ -48,13 +48,13 @@
     /// Whether `position`, named by a server that was asked at `asked_at`, lacks
     /// what it held itself before that. An answer that another one has
     /// overtaken names an older position and tells nothing.
-    [[nodiscard]] bool shorter_at(std::string_view server, const sql::log_position& position,
-                                  time_point asked_at) const {
+    [[nodiscard]] bool is_truncated(std::string_view server, const sql::log_position& position,
+                                    time_point asked_at) const {
         return m_furthest && m_server == server && asked_at > m_known_since && position < *m_furthest;
     }
 
     /// The furthest position that `server` is known to have named while it led.
-    [[nodiscard]] std::optional<sql::log_position> furthest_of(std::string_view server) const {
+    [[nodiscard]] std::optional<sql::log_position> highest_position_of(std::string_view server) const {
         return m_server == server ? m_furthest : std::nullopt;
     }
 
--- a/src/cornellever/routing/model.hpp
+++ b/src/cornellever/routing/model.hpp
@@ -75,13 +75,13 @@
     std::size_t slots{1};
     /// When its process started, in Unix milliseconds; 0 when it does not say.
     /// A server that starts again under its id knows nothing of before.
-    std::uint64_t born_ms{0};
+    std::uint64_t started_at_ms{0};
     bool draining{false};
     server_role role{server_role::replica};
 
     /// Whether this is a later start of the same server.
     [[nodiscard]] bool started_after(const backend_server& before) const noexcept {
-        return born_ms > before.born_ms && before.born_ms != 0;
+        return started_at_ms > before.started_at_ms && before.started_at_ms != 0;
     }
 
     friend bool operator==(const backend_server&, const backend_server&) = default;
--- a/src/cornellever/routing/placement.cpp
+++ b/src/cornellever/routing/placement.cpp
@@ -16,7 +16,7 @@
 constexpr double replayed_statement_ms = 0.2;
 
 double expected_ms(const placement_candidate& item) {
-    double out = item.typical.count() * static_cast<double>(1 + item.in_flight);
+    double out = item.statement_time.count() * static_cast<double>(1 + item.in_flight);
     out += item.same_data_center ? 0.0 : other_data_center_ms;
     out += item.primary ? primary_ms : 0.0;
     return out + replayed_statement_ms * static_cast<double>(item.replay);
--- a/src/cornellever/routing/placement.hpp
+++ b/src/cornellever/routing/placement.hpp
@@ -16,7 +16,7 @@
     /// Idle connections of this proxy to it.
     std::size_t idle{0};
     /// How long statements took there lately, its own queue included.
-    std::chrono::duration<double, std::milli> typical{0};
+    std::chrono::duration<double, std::milli> statement_time{0};
     /// Statements needed to bring a connection to the session's values.
     std::size_t replay{0};
 };
--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -26,7 +26,7 @@
 template <backend_link Link>
 struct pooled_slot {
     std::unique_ptr<Link> connection;
-    pool_entry<Link>* home{nullptr};
+    pool_entry<Link>* server_entry{nullptr};
     /// The server was told this account when the connection was opened, and
     /// takes all statements on it for that account's; empty for the proxy's own.
     std::string account{};
@@ -36,7 +36,7 @@
     /// In use by a request, or by the pool's own housekeeping.
     bool busy{false};
     /// Held by a transaction whose caller is between two statements.
-    bool resting{false};
+    bool idle_in_transaction{false};
     /// A statement runs on it whose answer is awaited.
     bool awaiting{false};
     /// The answer is late by so much that it is taken to be lost.
@@ -44,7 +44,7 @@
     /// A transaction that the server accepted as its primary is open and
     /// unused. A read in it is refused once the server has lost the lead, so
     /// it needs no other proof of freshness.
-    bool armed{false};
+    bool primed{false};
     /// When that transaction was opened.
     boot_clock::time_point armed_at{};
     /// When the statements were sent whose answers are still owed.
@@ -93,7 +93,7 @@
     using time_point = boot_clock::time_point;
 
     backend_server server;
-    std::vector<std::unique_ptr<pooled_slot<Link>>> slots;
+    std::vector<std::unique_ptr<pooled_slot<Link>>> open_connections;
     /// Connections being opened, and for whom where it is for an account.
     std::size_t opening{0};
     std::vector<std::string> opening_for;
@@ -102,16 +102,16 @@
     int failed_opens{0};
     /// When it last refused a connection for having too many.
     time_point full_at{};
-    typical_time typical;
+    typical_time statement_time;
     std::size_t in_flight{0};
     /// How far it has applied the log, where it is a replica.
     replica_progress progress;
-    lead_doubt doubt;
+    leadership_backoff doubt;
     /// Since when it leads with an empty log while another registered server,
     /// which may hold its commits, has not answered.
     std::optional<time_point> empty_since;
     /// The last answer of any kind, and the last sign that nobody answers.
-    time_point heard_at{};
+    time_point last_contact_at{};
     time_point refused_at{};
     time_point silent_at{};
     /// No longer registered, or started again; kept until its connections are
@@ -127,12 +127,12 @@
     [[nodiscard]] bool awaits_witness(time_point now) const { return empty_since && now - *empty_since < witness_wait; }
 
     /// Connections open or being opened.
-    [[nodiscard]] std::size_t held() const noexcept { return slots.size() + opening; }
+    [[nodiscard]] std::size_t held() const noexcept { return open_connections.size() + opening; }
 
     /// Any connection that is not in use; null when there is none.
     [[nodiscard]] pooled_slot<Link>* any_idle() const {
-        const auto found = std::ranges::find_if(slots, [](const auto& item) { return !item->busy; });
-        return found == slots.end() ? nullptr : found->get();
+        const auto found = std::ranges::find_if(open_connections, [](const auto& item) { return !item->busy; });
+        return found == open_connections.end() ? nullptr : found->get();
     }
 
     /// The connection that has been idle for longest among those whose account
@@ -140,7 +140,7 @@
     template <std::predicate<const std::string&> Spares>
     [[nodiscard]] pooled_slot<Link>* longest_idle(Spares spares) const {
         pooled_slot<Link>* out = nullptr;
-        for (const auto& item : slots) {
+        for (const auto& item : open_connections) {
             if (!item->busy && spares(item->account) && (out == nullptr || item->used_at < out->used_at)) {
                 out = item.get();
             }
@@ -150,37 +150,41 @@
 
     /// Connections of an account that can run a statement, or will.
     [[nodiscard]] std::size_t useful_of(std::string_view account) const {
-        const auto open = std::ranges::count_if(
-            slots, [&](const auto& item) { return item->account == account && !item->resting && !item->overdue; });
+        const auto open = std::ranges::count_if(open_connections, [&](const auto& item) {
+            return item->account == account && !item->idle_in_transaction && !item->overdue;
+        });
         return static_cast<std::size_t>(open + std::ranges::count(opening_for, account));
     }
 
     /// Idle connections of an account.
     [[nodiscard]] std::size_t idle_of(std::string_view account) const {
-        return static_cast<std::size_t>(
-            std::ranges::count_if(slots, [&](const auto& item) { return !item->busy && item->account == account; }));
+        return static_cast<std::size_t>(std::ranges::count_if(
+            open_connections, [&](const auto& item) { return !item->busy && item->account == account; }));
     }
 
     [[nodiscard]] std::size_t idle() const {
-        return static_cast<std::size_t>(std::ranges::count_if(slots, [](const auto& item) { return !item->busy; }));
+        return static_cast<std::size_t>(
+            std::ranges::count_if(open_connections, [](const auto& item) { return !item->busy; }));
     }
 
     /// Connections in use, but for those that rest in a transaction and those
     /// whose answer is overdue.
     [[nodiscard]] std::size_t working() const {
-        return static_cast<std::size_t>(std::ranges::count_if(
-            slots, [](const auto& item) { return item->busy && !item->resting && !item->overdue; }));
+        return static_cast<std::size_t>(std::ranges::count_if(open_connections, [](const auto& item) {
+            return item->busy && !item->idle_in_transaction && !item->overdue;
+        }));
     }
 
     [[nodiscard]] std::size_t overdue() const {
-        return static_cast<std::size_t>(std::ranges::count_if(slots, [](const auto& item) { return item->overdue; }));
+        return static_cast<std::size_t>(
+            std::ranges::count_if(open_connections, [](const auto& item) { return item->overdue; }));
     }
 
     /// Marks the connections whose answer has become overdue; whether any has.
     bool mark_overdue(time_point now) {
-        const auto limit = overdue_after(typical.value(now));
+        const auto limit = overdue_after(statement_time.value(now));
         bool out = false;
-        for (auto& item : slots) {
+        for (auto& item : open_connections) {
             if (item->awaiting && !item->overdue && now - item->sent_at > limit) {
                 item->overdue = true;
                 out = true;
@@ -190,7 +194,7 @@
     }
 
     /// Whether nobody answered since the last answer.
-    [[nodiscard]] bool unreachable() const noexcept { return std::max(refused_at, silent_at) > heard_at; }
+    [[nodiscard]] bool unreachable() const noexcept { return std::max(refused_at, silent_at) > last_contact_at; }
 
 private:
     /// Longer than most servers take to start again.
--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -71,23 +71,23 @@
     void start_epoch(time_point now) { m_epoch = now; }
 
     /// Whether statements may use the transaction that is open on `held`.
-    [[nodiscard]] bool armed_now(const slot& held) const { return held.armed && held.armed_at >= m_epoch; }
+    [[nodiscard]] bool is_primed(const slot& held) const { return held.primed && held.armed_at >= m_epoch; }
 
     /// Takes the registered servers of the service.
     void update(std::span<const backend_server* const> servers);
 
     /// A connection for `want`, waiting for one until `want.until`; none when
     /// that passes.
-    asio::awaitable<lease> acquire(connection_want want);
+    asio::awaitable<lease> acquire(connection_request want);
 
     /// Housekeeping, every `housekeeping_period`.
     void tick();
 
     /// An answer of a server. `took` is given for statements that ran there.
-    void heard(entry& from, std::optional<std::chrono::nanoseconds> took) {
-        from.heard_at = boot_clock::now();
+    void note_reply(entry& from, std::optional<std::chrono::nanoseconds> took) {
+        from.last_contact_at = boot_clock::now();
         if (took) {
-            from.typical.record(from.heard_at, *took);
+            from.statement_time.record(from.last_contact_at, *took);
         }
     }
 
@@ -111,13 +111,13 @@
     /// A server acknowledged a commit that was sent at `sent_at`.
     void note_commit(entry& from, time_point sent_at, const std::optional<sql::log_position>& position);
 
-    /// A peer saw `id` prove its lead after `confirmed_at`. It counts less than
+    /// A peer saw `id` prove its lead after `leadership_confirmed_at`. It counts less than
     /// what this proxy found out itself about the server's log and lead.
-    void believe(const std::string& id, time_point confirmed_at);
+    void accept_peer_confirmation(const std::string& id, time_point leadership_confirmed_at);
 
     /// A peer knows that `id` had come to `position` while it led.
-    void note_told(const std::string& id, const sql::log_position& position) {
-        m_leader_log.note_told(id, position, boot_clock::now());
+    void note_reported_position(const std::string& id, const sql::log_position& position) {
+        m_leader_log.note_reported_position(id, position, boot_clock::now());
     }
 
     /// A sample of a peer; its time is not later than the truth.
@@ -127,44 +127,44 @@
     [[nodiscard]] const std::string& primary() const noexcept { return m_primary; }
     /// Whether the primary has proved its lead to this proxy or to a peer. What
     /// the registry says of one that has just started again may not be so.
-    [[nodiscard]] bool lead_proven() const noexcept { return m_primary_at != time_point{}; }
+    [[nodiscard]] bool leadership_confirmed() const noexcept { return m_primary_at != time_point{}; }
     [[nodiscard]] std::size_t waiting() const noexcept { return m_line.size(); }
     [[nodiscard]] const std::map<std::string, std::unique_ptr<entry>, std::less<>>& entries() const noexcept {
         return m_entries;
     }
 
     /// What this proxy sees of the primary, for its peers.
-    [[nodiscard]] primary_sight sight() const;
+    [[nodiscard]] primary_observation observation() const;
 
     /// What a request finds that would wait as long as `limits` allow: servers
     /// that could run it now, and how many stand before it in the line.
-    [[nodiscard]] load_view outlook(const connection_want& want, const time_limits& limits) const;
+    [[nodiscard]] load_view expected_load(const connection_request& want, const time_limits& limits) const;
 
     /// An answer is awaited on `held`, or no more.
-    void set_awaiting(slot& held, bool awaiting) {
+    void set_awaiting_reply(slot& held, bool awaiting) {
         held.awaiting = awaiting;
         held.overdue = false;
     }
 
     /// A transaction holds a connection without a statement on it: another
     /// request may use its share of the server.
-    void rest(slot& held);
+    void mark_idle_in_transaction(slot& held);
 
     /// Whether any request has asked for a connection yet.
     [[nodiscard]] bool used() const noexcept { return m_used; }
 
     /// Whether the primary is known and answered when last tried.
-    [[nodiscard]] bool primary_answers() const {
+    [[nodiscard]] bool primary_reachable() const {
         const auto found = m_entries.find(m_primary);
         return found != m_entries.end() && !found->second->unreachable();
     }
 
     /// Whether the primary has not been heard of for so long although it was
     /// asked: it is lost, or the path to it is.
-    [[nodiscard]] bool primary_silent_for(std::chrono::milliseconds span) const {
+    [[nodiscard]] bool primary_unreachable_for(std::chrono::milliseconds span) const {
         const auto found = m_entries.find(m_primary);
         return found != m_entries.end() && found->second->unreachable() &&
-               boot_clock::now() - found->second->heard_at >= span;
+               boot_clock::now() - found->second->last_contact_at >= span;
     }
 
     /// Whether others reach the primary, which this proxy does not: no other
@@ -173,7 +173,7 @@
     [[nodiscard]] bool path_cut() const noexcept { return m_path_cut; }
 
     /// Has the primary asked for its position soon.
-    void want_sample() {
+    void request_sample() {
         note_use();
         tick();
     }
@@ -182,7 +182,7 @@
     /// is in use: the connection is armed when this yields true. Waits for the
     /// proof, since a read sent right behind a refused BEGIN would run without
     /// it.
-    asio::awaitable<bool> prove_lead(slot& held, time_point until);
+    asio::awaitable<bool> confirm_leadership(slot& held, time_point until);
 
     /// Asks one server whether it leads, over an idle or a new connection.
     asio::awaitable<void> probe(std::string id);
@@ -191,7 +191,7 @@
     /// that was open before may have gone silent. A server that refuses another
     /// connection answers, and counts as leading; one that does not answer
     /// within `limit` does not.
-    asio::awaitable<bool> leads_now(std::string id, std::chrono::milliseconds limit);
+    asio::awaitable<bool> is_primary_now(std::string id, std::chrono::milliseconds limit);
 
     /// Each server's own report of its log, for choosing a new primary.
     asio::awaitable<link_reply> ask(std::string id, sql::command what, std::chrono::milliseconds limit);
@@ -200,7 +200,7 @@
     friend connection_lease<service_pool>;
 
     struct waiter {
-        connection_want want;
+        connection_request want;
         std::int64_t priority{0};
         time_point until{};
         time_point joined_at{};
@@ -213,14 +213,14 @@
     std::set<std::string, std::less<>> retire_all_but(std::span<const backend_server* const> servers);
     void retire(entry& leaving);
     void close_idle(entry& at);
-    [[nodiscard]] bool suits(const connection_want& want, const entry& at, time_point now) const;
-    [[nodiscard]] slot* grab(const connection_want& want);
-    [[nodiscard]] slot* best_idle(const entry& at, const connection_want& want) const;
-    void grow(const connection_want& want);
+    [[nodiscard]] bool suits(const connection_request& want, const entry& at, time_point now) const;
+    [[nodiscard]] slot* grab(const connection_request& want);
+    [[nodiscard]] slot* best_idle(const entry& at, const connection_request& want) const;
+    void grow(const connection_request& want);
     [[nodiscard]] std::size_t statements_at_once(const entry& at) const {
         return statements_per_proxy(at.server.slots, m_proxies);
     }
-    [[nodiscard]] server_set servers_for(const connection_want& want, time_point now) const;
+    [[nodiscard]] server_set servers_for(const connection_request& want, time_point now) const;
     [[nodiscard]] std::vector<lane_view> lanes(time_point now) const;
     [[nodiscard]] std::vector<waiting_view> line_view(time_point now) const;
     void turn_away_overtaken(const waiter& by);
@@ -245,14 +245,14 @@
     [[nodiscard]] bool may_open(const entry& at, time_point now) const { return now >= at.open_after && has_room(at); }
     [[nodiscard]] slot* makes_room(const entry& at, const std::string& account, bool urgent) const;
     [[nodiscard]] bool may_open_for(const entry& at, const std::string& account, bool urgent, time_point now) const;
-    entry* place_opening(const connection_want& want);
+    entry* place_opening(const connection_request& want);
     void open_for_account(entry& at, const std::string& account, bool urgent);
     [[nodiscard]] bool has_waited_long(const entry& at, const waiter& item, time_point now) const;
     void note_opened(entry& at, const std::string& account);
     slot& add_slot(entry& at, std::unique_ptr<link> connection, const std::string& account);
     void learn_lead(slot& held, const sql::reply& from);
     void note_primary(entry& from, time_point asked_at, const std::optional<sql::log_position>& position);
-    void take_lead(entry& from, time_point confirmed_at);
+    void take_lead(entry& from, time_point leadership_confirmed_at);
     void note_log_lost(entry& at, const sql::log_position& named);
     void drop_lead(const std::string& id);
     [[nodiscard]] bool lacks_log(const entry& at, const sql::log_position& named, time_point asked_at) const;
@@ -260,7 +260,7 @@
     void open_one(entry& at, std::string account = {});
     asio::awaitable<void> open(entry& at, std::string account);
     void take_back(slot& held);
-    asio::awaitable<void> settle(slot& held);
+    asio::awaitable<void> await_pending(slot& held);
     asio::awaitable<void> refresh(slot& held);
     void make_idle(slot& held);
     void destroy(slot& held);
@@ -314,9 +314,9 @@
     std::size_t m_proxies{1};
     std::map<std::string, std::unique_ptr<entry>, std::less<>> m_entries;
     std::vector<std::unique_ptr<entry>> m_leaving;
-    waiting_line<waiter> m_line;
+    wait_queue<waiter> m_line;
     read_floor m_floor;
-    leader_log m_leader_log;
+    log_high_water_mark m_leader_log;
     /// A server that leads without the commits of before; empty when none does.
     std::string m_without_log;
     std::string m_primary;
--- a/src/cornellever/routing/service_pool.ipp
+++ b/src/cornellever/routing/service_pool.ipp
@@ -50,8 +50,8 @@
         }
         if (reborn) {
             log_event(event::server_reborn, "service=" + m_service + " server=" + at->first +
-                                                " born_ms=" + std::to_string((*found)->born_ms) +
-                                                " before_ms=" + std::to_string(at->second->server.born_ms));
+                                                " born_ms=" + std::to_string((*found)->started_at_ms) +
+                                                " before_ms=" + std::to_string(at->second->server.started_at_ms));
             out.insert(at->first);
         }
         if (at->first == m_primary) {
@@ -67,7 +67,7 @@
 template <link_connector Connector>
 void service_pool<Connector>::close_idle(entry& at) {
     std::vector<slot*> idle;
-    for (auto& item : at.slots) {
+    for (auto& item : at.open_connections) {
         if (!item->busy) {
             idle.push_back(item.get());
         }
@@ -99,7 +99,7 @@
 }
 
 template <link_connector Connector>
-bool service_pool<Connector>::suits(const connection_want& want, const entry& at, time_point now) const {
+bool service_pool<Connector>::suits(const connection_request& want, const entry& at, time_point now) const {
     const bool primary = at.server.id == m_primary;
     if (at.gone || (want.primary && !primary)) {
         return false;
@@ -107,7 +107,7 @@
     if (at.draining_since && (!primary || now - *at.draining_since > leaving_primary_use)) {
         return false;
     }
-    if (std::ranges::find(want.avoid, at.server.id) != want.avoid.end()) {
+    if (std::ranges::find(want.excluded_servers, at.server.id) != want.excluded_servers.end()) {
         return false;
     }
     return primary || !want.floor || !at.progress.lacks(*want.floor, now, m_floor);
@@ -115,15 +115,15 @@
 
 template <link_connector Connector>
 typename service_pool<Connector>::slot* service_pool<Connector>::best_idle(const entry& at,
-                                                                           const connection_want& want) const {
+                                                                           const connection_request& want) const {
     slot* best = nullptr;
     std::size_t best_cost = 0;
-    for (auto& item : at.slots) {
+    for (auto& item : at.open_connections) {
         if (item->busy || item->account != want.account) {
             continue;
         }
         auto cost = want.session == nullptr ? 0 : 2 * session::replay_cost(*want.session, item->memory);
-        cost += want.primary && !item->armed ? 1 : 0;
+        cost += want.primary && !item->primed ? 1 : 0;
         if (best == nullptr || cost < best_cost) {
             best = item.get();
             best_cost = cost;
@@ -133,7 +133,7 @@
 }
 
 template <link_connector Connector>
-typename service_pool<Connector>::slot* service_pool<Connector>::grab(const connection_want& want) {
+typename service_pool<Connector>::slot* service_pool<Connector>::grab(const connection_request& want) {
     const auto now = boot_clock::now();
     std::vector<placement_candidate> candidates;
     std::vector<entry*> at;
@@ -143,16 +143,16 @@
             continue;
         }
         const bool primary = id == m_primary;
-        replica_could = replica_could || (!primary && !item->slots.empty());
+        replica_could = replica_could || (!primary && !item->open_connections.empty());
         auto* idle = best_idle(*item, want);
-        candidates.push_back({.same_data_center = item->server.data_center == m_data_center,
-                              .primary = primary,
-                              .in_flight = item->in_flight,
-                              .idle = item->idle_of(want.account),
-                              .typical = std::chrono::duration<double, std::milli>{item->typical.value(now)},
-                              .replay = idle != nullptr && want.session != nullptr
-                                            ? session::replay_cost(*want.session, idle->memory)
-                                            : 0});
+        candidates.push_back(
+            {.same_data_center = item->server.data_center == m_data_center,
+             .primary = primary,
+             .in_flight = item->in_flight,
+             .idle = item->idle_of(want.account),
+             .statement_time = std::chrono::duration<double, std::milli>{item->statement_time.value(now)},
+             .replay =
+                 idle != nullptr && want.session != nullptr ? session::replay_cost(*want.session, idle->memory) : 0});
         at.push_back(item.get());
     }
     // An account has hardly more than one connection to a server, and keeping
@@ -168,7 +168,7 @@
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::grow(const connection_want& want) {
+void service_pool<Connector>::grow(const connection_request& want) {
     if (m_named) {
         if (auto* at = place_opening(want); at != nullptr) {
             open_for_account(*at, want.account, false);
@@ -208,7 +208,7 @@
         } else if (why == connect_failure::silent) {
             at.silent_at = now;
         } else {
-            at.heard_at = now;
+            at.last_contact_at = now;
         }
         if (why == connect_failure::too_many_connections) {
             at.full_at = now;
@@ -223,7 +223,7 @@
         co_return;
     }
     at.failed_opens = 0;
-    at.heard_at = now;
+    at.last_contact_at = now;
     auto& added = add_slot(at, std::move(*opened), account);
     if (at.server.id == m_primary && !at.gone) {
         co_await refresh(added);
@@ -236,9 +236,9 @@
 template <link_connector Connector>
 typename service_pool<Connector>::slot& service_pool<Connector>::add_slot(entry& at, std::unique_ptr<link> connection,
                                                                           const std::string& account) {
-    auto& added = *at.slots.emplace_back(std::make_unique<slot>());
+    auto& added = *at.open_connections.emplace_back(std::make_unique<slot>());
     added.connection = std::move(connection);
-    added.home = &at;
+    added.server_entry = &at;
     added.account = account;
     added.busy = true;
     return added;
@@ -246,9 +246,9 @@
 
 template <link_connector Connector>
 void service_pool<Connector>::take_back(slot& held) {
-    held.resting = false;
+    held.idle_in_transaction = false;
     if (!held.connection->usable()) {
-        auto& at = *held.home;
+        auto& at = *held.server_entry;
         destroy(held);
         if (!m_named && !m_line.empty() && !at.gone && may_open(at, boot_clock::now())) {
             open_one(at);
@@ -257,15 +257,15 @@
         forget_if_empty(at);
         return;
     }
-    asio::co_spawn(m_executor, settle(held), asio::detached);
+    asio::co_spawn(m_executor, await_pending(held), asio::detached);
 }
 
 /// Awaits the answers that a request left owed, and learns from the last:
 /// where it opened a transaction on a primary, the connection is armed.
 template <link_connector Connector>
-asio::awaitable<void> service_pool<Connector>::settle(slot& held) {
-    auto last = co_await held.connection->settle(boot_clock::now() + control_limit);
-    auto& at = *held.home;
+asio::awaitable<void> service_pool<Connector>::await_pending(slot& held) {
+    auto last = co_await held.connection->await_pending(boot_clock::now() + control_limit);
+    auto& at = *held.server_entry;
     if (!last) {
         note_failure(at, last.error());
         log_event(event::connection_broken, "service=" + m_service + " server=" + at.server.id +
@@ -275,9 +275,9 @@
         forget_if_empty(at);
         co_return;
     }
-    heard(at, std::nullopt);
+    note_reply(at, std::nullopt);
     learn_lead(held, *last);
-    const bool unproved = last->state == sql::transaction_state::open && !held.armed;
+    const bool unproved = last->state == sql::transaction_state::open && !held.primed;
     if (last->state == sql::transaction_state::failed || unproved) {
         held.connection->close();
     }
@@ -286,8 +286,8 @@
 
 template <link_connector Connector>
 void service_pool<Connector>::make_idle(slot& held) {
-    auto& at = *held.home;
-    if (at.gone || !held.connection->usable() || at.slots.size() > most_held(at) + at.overdue()) {
+    auto& at = *held.server_entry;
+    if (at.gone || !held.connection->usable() || at.open_connections.size() > most_held(at) + at.overdue()) {
         destroy(held);
         offer(at);
         forget_if_empty(at);
@@ -301,12 +301,12 @@
 template <link_connector Connector>
 void service_pool<Connector>::destroy(slot& held) {
     held.connection->close();
-    std::erase_if(held.home->slots, [&](const auto& item) { return item.get() == &held; });
+    std::erase_if(held.server_entry->open_connections, [&](const auto& item) { return item.get() == &held; });
 }
 
 template <link_connector Connector>
 void service_pool<Connector>::forget_if_empty(entry& at) {
-    if (at.gone && at.slots.empty() && at.opening == 0) {
+    if (at.gone && at.open_connections.empty() && at.opening == 0) {
         std::erase_if(m_leaving, [&](const auto& item) { return item.get() == &at; });
     }
 }
--- a/src/cornellever/routing/service_pool_accounts.ipp
+++ b/src/cornellever/routing/service_pool_accounts.ipp
@@ -27,7 +27,7 @@
 
 /// The server to which a connection for an account is best opened.
 template <link_connector Connector>
-typename service_pool<Connector>::entry* service_pool<Connector>::place_opening(const connection_want& want) {
+typename service_pool<Connector>::entry* service_pool<Connector>::place_opening(const connection_request& want) {
     const auto now = boot_clock::now();
     std::vector<placement_candidate> candidates;
     std::vector<entry*> at;
@@ -35,11 +35,12 @@
         if (!suits(want, *item, now) || !may_open_for(*item, want.account, false, now)) {
             continue;
         }
-        candidates.push_back({.same_data_center = item->server.data_center == m_data_center,
-                              .primary = id == m_primary,
-                              .in_flight = item->in_flight + item->opening,
-                              .idle = 1,
-                              .typical = std::chrono::duration<double, std::milli>{item->typical.value(now)}});
+        candidates.push_back(
+            {.same_data_center = item->server.data_center == m_data_center,
+             .primary = id == m_primary,
+             .in_flight = item->in_flight + item->opening,
+             .idle = 1,
+             .statement_time = std::chrono::duration<double, std::milli>{item->statement_time.value(now)}});
         at.push_back(item.get());
     }
     const auto chosen = place_read(candidates, false);
@@ -77,7 +78,7 @@
 bool service_pool<Connector>::has_waited_long(const entry& at, const waiter& item, time_point now) const {
     constexpr double statements = 2.0;
     return std::chrono::duration<double, std::milli>(now - item.joined_at).count() >=
-           statements * at.typical.value(now);
+           statements * at.statement_time.value(now);
 }
 
 /// Grants a connection of its account to a waiter; whether one was idle. Where
@@ -104,7 +105,7 @@
 /// Gives back what accounts were given beyond the budget.
 template <link_connector Connector>
 void service_pool<Connector>::close_unneeded(entry& at, time_point now) {
-    while (at.slots.size() > m_budget) {
+    while (at.open_connections.size() > m_budget) {
         auto* item = at.longest_idle([](const std::string&) { return true; });
         if (item == nullptr || now - item->used_at < unneeded_after) {
             return;
--- a/src/cornellever/routing/service_pool_lead.ipp
+++ b/src/cornellever/routing/service_pool_lead.ipp
@@ -8,7 +8,7 @@
 /// that opened a plain transaction does, and the connection is armed.
 template <link_connector Connector>
 void service_pool<Connector>::learn_lead(slot& held, const sql::reply& from) {
-    auto& at = *held.home;
+    auto& at = *held.server_entry;
     if (from.ok() && from.state == sql::transaction_state::open) {
         if (from.position && lacks_log(at, *from.position, held.sent_at)) {
             held.connection->close();
@@ -21,7 +21,7 @@
             drop_lead(at.server.id);
             return;
         }
-        held.armed = true;
+        held.primed = true;
         held.armed_at = held.sent_at;
         note_primary(at, held.sent_at, from.position);
     } else if (!from.ok() && from.why() == sql::refusal::not_primary) {
@@ -36,7 +36,7 @@
 /// leading, nothing is lost.
 template <link_connector Connector>
 bool service_pool<Connector>::lacks_log(const entry& at, const sql::log_position& named, time_point asked_at) const {
-    if (m_leader_log.shorter_at(at.server.id, named, asked_at)) {
+    if (m_leader_log.is_truncated(at.server.id, named, asked_at)) {
         return true;
     }
     return named.number == 0 && std::ranges::any_of(m_entries, [&](const auto& item) {
@@ -74,10 +74,10 @@
     at.since = now;
     at.open_after = now + longest_backoff;
     if (m_without_log != at.server.id) {
-        const auto furthest = m_leader_log.furthest_of(at.server.id);
+        const auto highest_position = m_leader_log.highest_position_of(at.server.id);
         log_event(event::primary_lost, "service=" + m_service + " server=" + at.server.id +
-                                           " reason=log_lost position=" + sql::to_string(named) +
-                                           " furthest=" + (furthest ? sql::to_string(*furthest) : "held_by_others"));
+                                           " reason=log_lost position=" + sql::to_string(named) + " furthest=" +
+                                           (highest_position ? sql::to_string(*highest_position) : "held_by_others"));
     }
     m_without_log = at.server.id;
     drop_lead(at.server.id);
@@ -107,7 +107,7 @@
     if (position) {
         m_floor.add({asked_at, *position});
     }
-    if (from.gone || !from.doubt.admits(asked_at)) {
+    if (from.gone || !from.doubt.accepts_confirmation(asked_at)) {
         return;
     }
     take_lead(from, asked_at);
@@ -131,25 +131,25 @@
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::believe(const std::string& id, time_point confirmed_at) {
+void service_pool<Connector>::accept_peer_confirmation(const std::string& id, time_point leadership_confirmed_at) {
     const auto found = m_entries.find(id);
     if (found == m_entries.end() || id == m_without_log) {
         return;
     }
     auto& at = *found->second;
-    if (!at.awaits_witness(boot_clock::now()) && at.doubt.admits(confirmed_at)) {
-        take_lead(at, confirmed_at);
+    if (!at.awaits_witness(boot_clock::now()) && at.doubt.accepts_confirmation(leadership_confirmed_at)) {
+        take_lead(at, leadership_confirmed_at);
     }
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::take_lead(entry& from, time_point confirmed_at) {
-    if (confirmed_at <= m_primary_at || confirmed_at <= from.since) {
+void service_pool<Connector>::take_lead(entry& from, time_point leadership_confirmed_at) {
+    if (leadership_confirmed_at <= m_primary_at || leadership_confirmed_at <= from.since) {
         return;
     }
     const auto& id = from.server.id;
-    m_primary_at = confirmed_at;
-    m_leader_log.note_leader(id);
+    m_primary_at = leadership_confirmed_at;
+    m_leader_log.set_primary(id);
     if (m_primary == id) {
         return;
     }
--- a/src/cornellever/routing/service_pool_line.ipp
+++ b/src/cornellever/routing/service_pool_line.ipp
@@ -5,7 +5,7 @@
 namespace cornellever::routing {
 
 template <link_connector Connector>
-asio::awaitable<typename service_pool<Connector>::lease> service_pool<Connector>::acquire(connection_want want) {
+asio::awaitable<typename service_pool<Connector>::lease> service_pool<Connector>::acquire(connection_request want) {
     note_use();
     m_named = m_named || !want.account.empty();
     if (auto* found = grab(want); found != nullptr) {
@@ -65,7 +65,7 @@
     }
     log_event(event::answer_overdue, "service=" + m_service + " server=" + at.server.id +
                                          " overdue=" + std::to_string(at.overdue()) +
-                                         " typical_ms=" + std::to_string(std::llround(at.typical.value(now))) +
+                                         " typical_ms=" + std::to_string(std::llround(at.statement_time.value(now))) +
                                          " waiting=" + std::to_string(m_line.size()));
     offer(at);
     const auto wanted =
@@ -76,14 +76,14 @@
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::rest(slot& held) {
-    held.resting = true;
-    offer(*held.home);
+void service_pool<Connector>::mark_idle_in_transaction(slot& held) {
+    held.idle_in_transaction = true;
+    offer(*held.server_entry);
 }
 
 /// The servers that could run a request now, by their place in `m_entries`.
 template <link_connector Connector>
-server_set service_pool<Connector>::servers_for(const connection_want& want, time_point now) const {
+server_set service_pool<Connector>::servers_for(const connection_request& want, time_point now) const {
     server_set out = 0;
     std::size_t place = 0;
     for (const auto& [id, at] : m_entries) {
@@ -102,9 +102,9 @@
     for (const auto& [id, at] : m_entries) {
         // Where connections are opened for accounts, any but the first makes
         // room for another within a handshake.
-        const auto connections = m_named && !at->slots.empty() ? m_budget : at->slots.size();
+        const auto connections = m_named && !at->open_connections.empty() ? m_budget : at->open_connections.size();
         out.push_back({std::min(statements_at_once(*at), connections),
-                       std::chrono::duration<double, std::milli>{at->typical.value(now)}});
+                       std::chrono::duration<double, std::milli>{at->statement_time.value(now)}});
     }
     return out;
 }
@@ -120,11 +120,11 @@
 }
 
 template <link_connector Connector>
-load_view service_pool<Connector>::outlook(const connection_want& want, const time_limits& limits) const {
+load_view service_pool<Connector>::expected_load(const connection_request& want, const time_limits& limits) const {
     const auto now = boot_clock::now();
     const auto could = servers_for(want, now);
     const auto usual = together(lanes(now), could);
-    load_view out{.connections = usual.statements, .typical = usual.typical};
+    load_view out{.connections = usual.statements, .statement_time = usual.statement_time};
     if (m_line.empty()) {
         return out;
     }
--- a/src/cornellever/routing/service_pool_primary.ipp
+++ b/src/cornellever/routing/service_pool_primary.ipp
@@ -5,35 +5,35 @@
 namespace cornellever::routing {
 
 template <link_connector Connector>
-asio::awaitable<bool> service_pool<Connector>::prove_lead(slot& held, time_point until) {
+asio::awaitable<bool> service_pool<Connector>::confirm_leadership(slot& held, time_point until) {
     std::vector<sql::command> batch;
-    if (std::exchange(held.armed, false)) {
-        batch.push_back(sql::own(sql::statement_kind::rollback));
+    if (std::exchange(held.primed, false)) {
+        batch.push_back(sql::proxy_command(sql::statement_kind::rollback));
     }
     const auto wanted = batch.size();
-    batch.push_back(sql::own(sql::statement_kind::begin));
+    batch.push_back(sql::proxy_command(sql::statement_kind::begin));
     held.sent_at = boot_clock::now();
-    auto& at = *held.home;
+    auto& at = *held.server_entry;
     auto answer = co_await held.connection->exchange(std::move(batch), wanted, until);
     if (!answer) {
         note_failure(at, answer.error());
         co_return false;
     }
-    heard(at, std::nullopt);
+    note_reply(at, std::nullopt);
     learn_lead(held, *answer);
-    co_return held.armed;
+    co_return held.primed;
 }
 
 /// Proves the lead anew on a connection that the caller marked busy.
 template <link_connector Connector>
 asio::awaitable<void> service_pool<Connector>::refresh(slot& held) {
-    (void)co_await prove_lead(held, boot_clock::now() + control_limit);
+    (void)co_await confirm_leadership(held, boot_clock::now() + control_limit);
     make_idle(held);
 }
 
 template <link_connector Connector>
 void service_pool<Connector>::arm_idle(entry& at) {
-    for (auto& item : at.slots) {
+    for (auto& item : at.open_connections) {
         if (!item->busy) {
             item->busy = true;
             asio::co_spawn(m_executor, refresh(*item), asio::detached);
@@ -116,8 +116,8 @@
     }
     held->busy = true;
     std::vector<sql::command> batch;
-    if (std::exchange(held->armed, false)) {
-        batch.push_back(sql::own(sql::statement_kind::rollback));
+    if (std::exchange(held->primed, false)) {
+        batch.push_back(sql::proxy_command(sql::statement_kind::rollback));
     }
     batch.push_back(std::move(what));
     const auto wanted = batch.size() - 1;
@@ -135,7 +135,7 @@
 }
 
 template <link_connector Connector>
-asio::awaitable<bool> service_pool<Connector>::leads_now(std::string id, std::chrono::milliseconds limit) {
+asio::awaitable<bool> service_pool<Connector>::is_primary_now(std::string id, std::chrono::milliseconds limit) {
     const auto until = boot_clock::now() + limit;
     const auto found = m_entries.find(id);
     if (found == m_entries.end()) {
@@ -147,7 +147,7 @@
         co_return opened.error() == connect_failure::too_many_connections;
     }
     std::vector<sql::command> batch;
-    batch.push_back(sql::own(sql::statement_kind::begin));
+    batch.push_back(sql::proxy_command(sql::statement_kind::begin));
     const auto asked_at = boot_clock::now();
     const auto answer = co_await (*opened)->exchange(std::move(batch), 0, until);
     (*opened)->close();
@@ -212,39 +212,39 @@
 template <link_connector Connector>
 asio::awaitable<void> service_pool<Connector>::ask_position(slot& held) {
     std::vector<sql::command> batch;
-    batch.push_back(sql::own(sql::statement_kind::begin_read_only));
-    batch.push_back(sql::own(sql::statement_kind::rollback));
+    batch.push_back(sql::proxy_command(sql::statement_kind::begin_read_only));
+    batch.push_back(sql::proxy_command(sql::statement_kind::rollback));
     held.sent_at = boot_clock::now();
     auto answer = co_await held.connection->exchange(std::move(batch), 1, held.sent_at + control_limit);
     if (answer) {
-        heard(*held.home, std::nullopt);
-        note_position(*held.home, answer->position);
+        note_reply(*held.server_entry, std::nullopt);
+        note_position(*held.server_entry, answer->position);
     } else {
-        note_failure(*held.home, answer.error());
+        note_failure(*held.server_entry, answer.error());
     }
     make_idle(held);
 }
 
 template <link_connector Connector>
-primary_sight service_pool<Connector>::sight() const {
-    primary_sight out;
+primary_observation service_pool<Connector>::observation() const {
+    primary_observation out;
     out.id = m_primary;
-    out.confirmed_at = m_primary_at;
-    out.furthest = m_leader_log.furthest_of(m_primary);
+    out.leadership_confirmed_at = m_primary_at;
+    out.highest_position = m_leader_log.highest_position_of(m_primary);
     const auto found = m_entries.find(m_primary);
     if (found != m_entries.end()) {
         const auto& at = *found->second;
-        out.heard_at = at.heard_at;
+        out.last_contact_at = at.last_contact_at;
         out.unreachable = at.unreachable();
-        out.refused = at.refused_at > at.heard_at;
+        out.refused = at.refused_at > at.last_contact_at;
     } else if (const auto without = m_entries.find(m_without_log); without != m_entries.end()) {
         // It answers, and yet no primary does there.
         out.id = m_without_log;
-        out.heard_at = without->second->since;
+        out.last_contact_at = without->second->since;
         out.unreachable = true;
         out.refused = true;
         out.log_lost = true;
-        out.furthest = m_leader_log.furthest_of(m_without_log);
+        out.highest_position = m_leader_log.highest_position_of(m_without_log);
     }
     return out;
 }
--- a/src/cornellever/routing/turn_outlook.cpp
+++ b/src/cornellever/routing/turn_outlook.cpp
@@ -9,11 +9,11 @@
     double per_ms = 0.0;
     for (std::size_t i = 0; i < servers.size(); ++i) {
         const auto& item = servers[i];
-        if ((of >> i & 1U) == 0 || item.statements == 0 || item.typical.count() <= 0.0) {
+        if ((of >> i & 1U) == 0 || item.statements == 0 || item.statement_time.count() <= 0.0) {
             continue;
         }
         statements += item.statements;
-        per_ms += static_cast<double>(item.statements) / item.typical.count();
+        per_ms += static_cast<double>(item.statements) / item.statement_time.count();
     }
     if (statements == 0) {
         return {};
@@ -34,9 +34,9 @@
         const auto& item = line[i];
         const auto lanes = together(servers, item.servers);
         const auto ahead = competing(staying, item.servers);
-        const auto wait = lanes.statements == 0
-                              ? std::chrono::duration<double, std::milli>{0}
-                              : lanes.typical * static_cast<double>(ahead) / static_cast<double>(lanes.statements);
+        const auto wait = lanes.statements == 0 ? std::chrono::duration<double, std::milli>{0}
+                                                : lanes.statement_time * static_cast<double>(ahead) /
+                                                      static_cast<double>(lanes.statements);
         if (now + std::chrono::duration_cast<std::chrono::nanoseconds>(wait) > item.until) {
             out.push_back(i);
         } else {
--- a/src/cornellever/routing/turn_outlook.hpp
+++ b/src/cornellever/routing/turn_outlook.hpp
@@ -15,7 +15,7 @@
     /// Statements that this proxy runs there at a time; 0 without a connection.
     std::size_t statements{0};
     /// How long one takes, the server's own queue included.
-    std::chrono::duration<double, std::milli> typical{0};
+    std::chrono::duration<double, std::milli> statement_time{0};
 };
 
 /// A set of servers: bit i stands for the i-th.
--- a/src/cornellever/routing/waiting_line.hpp
+++ b/src/cornellever/routing/waiting_line.hpp
@@ -14,7 +14,7 @@
 /// Requests waiting for a connection: lower priority numbers first, and among
 /// equals the one whose time runs out first. `T` has `priority` and `until`.
 template <typename T>
-class waiting_line {
+class wait_queue {
 public:
     /// Adds an item, which must stay where it is until removed.
     void join(T& item) {
--- a/src/cornellever/session/connection_memory.cpp
+++ b/src/cornellever/session/connection_memory.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 std::string prepared_name(const prepared_statement& what) {
-    return (what.touches == sql::access::read ? "r_" : "w_") + what.shape;
+    return (what.access_mode == sql::access::read ? "r_" : "w_") + what.shape;
 }
 
 std::vector<sql::statement> plan_replay(const session_state& session, connection_memory& memory,
@@ -38,7 +38,7 @@
     if (needed != nullptr && memory.prepared.insert(prepared_name(*needed)).second) {
         out.push_back({.kind = sql::statement_kind::prepare,
                        .name = prepared_name(*needed),
-                       .touches = needed->touches,
+                       .access_mode = needed->access_mode,
                        .text = needed->shape});
     }
     return out;
--- a/src/cornellever/session/describe.hpp
+++ b/src/cornellever/session/describe.hpp
@@ -33,7 +33,8 @@
     for (const auto& [name, backends] : host.pools()) {
         auto& pool = out["services"][name];
         pool["primary"] = backends->primary();
-        pool["primary_confirmed_ms"] = static_cast<Json::Int64>(to_ms(now - backends->sight().confirmed_at));
+        pool["primary_confirmed_ms"] =
+            static_cast<Json::Int64>(to_ms(now - backends->observation().leadership_confirmed_at));
         pool["waiting"] = static_cast<Json::UInt64>(backends->waiting());
         if (const auto* newest = backends->floor().newest()) {
             pool["sample"] = sql::to_string(newest->position);
@@ -42,19 +43,19 @@
         for (const auto& [id, at] : backends->entries()) {
             auto& server = pool["servers"][id];
             server["data_center"] = at->server.data_center;
-            for (const auto& item : at->slots) {
+            for (const auto& item : at->open_connections) {
                 if (!item->account.empty()) {
                     auto& held = server["connections_of"][item->account];
                     held = held.asUInt64() + 1;
                 }
             }
-            server["connections"] = static_cast<Json::UInt64>(at->slots.size());
+            server["connections"] = static_cast<Json::UInt64>(at->open_connections.size());
             server["idle"] = static_cast<Json::UInt64>(at->idle());
             server["in_flight"] = static_cast<Json::UInt64>(at->in_flight);
-            server["typical_ms"] = at->typical.value(now);
+            server["typical_ms"] = at->statement_time.value(now);
             server["draining"] = at->server.draining;
             server["unreachable"] = at->unreachable();
-            server["heard_ms"] = static_cast<Json::Int64>(to_ms(now - at->heard_at));
+            server["heard_ms"] = static_cast<Json::Int64>(to_ms(now - at->last_contact_at));
         }
     }
     return out;
@@ -98,11 +99,11 @@
                    newest == nullptr ? -1.0 : static_cast<double>(to_ms(now - newest->asked_at)), {{"service", name}});
         for (const auto& [id, at] : backends->entries()) {
             const metrics::labels of{{"service", name}, {"server", id}};
-            into.gauge("cornellever_connections", "Connections to a server.", static_cast<double>(at->slots.size()),
-                       of);
+            into.gauge("cornellever_connections", "Connections to a server.",
+                       static_cast<double>(at->open_connections.size()), of);
             into.gauge("cornellever_connections_idle", "Those not in use.", static_cast<double>(at->idle()), of);
             into.gauge("cornellever_server_typical_milliseconds", "Moving average of a statement's time at a server.",
-                       at->typical.value(now), of);
+                       at->statement_time.value(now), of);
             into.gauge("cornellever_server_primary", "1 for the server taken for the primary.",
                        id == backends->primary() ? 1.0 : 0.0, of);
         }
--- a/src/cornellever/session/relay.cpp
+++ b/src/cornellever/session/relay.cpp
@@ -24,7 +24,7 @@
     }
     for (const auto& [name, item] : from.prepared) {
         out.push_back(
-            {.kind = sql::statement_kind::prepare, .name = name, .touches = item.touches, .text = item.shape});
+            {.kind = sql::statement_kind::prepare, .name = name, .access_mode = item.access_mode, .text = item.shape});
     }
     return out;
 }
--- a/src/cornellever/session/session_state.hpp
+++ b/src/cornellever/session/session_state.hpp
@@ -13,7 +13,7 @@
 
 /// A statement that a caller prepared under a name of its own.
 struct prepared_statement {
-    sql::access touches{sql::access::read};
+    sql::access access_mode{sql::access::read};
     std::string shape;
 };
 
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -30,7 +30,7 @@
 
     [[nodiscard]] bool writes() const noexcept {
         return request.what.kind == sql::statement_kind::write ||
-               (prepared != nullptr && prepared->touches == sql::access::write);
+               (prepared != nullptr && prepared->access_mode == sql::access::write);
     }
     [[nodiscard]] boot_clock::time_point until() const { return arrival + route.statement_timeout; }
     [[nodiscard]] accounts::gate::decision permitted() const {
@@ -80,8 +80,8 @@
     [[nodiscard]] std::optional<sql::reply> forbid(const statement_run& run, const accounts::gate::decision& may) const;
     [[nodiscard]] std::optional<sql::reply> forbid_on(const statement_run& run, const lease& held) const;
     [[nodiscard]] std::optional<sql::reply> admit(pool& backends, const statement_run& run,
-                                                  routing::connection_want& want);
-    asio::awaitable<lease> connection_for(pool& backends, const statement_run& run, routing::connection_want& want,
+                                                  routing::connection_request& want);
+    asio::awaitable<lease> connection_for(pool& backends, const statement_run& run, routing::connection_request& want,
                                           sql::reply& refusal);
     asio::awaitable<bool> arm(pool& backends, lease& held, time_point until);
     [[nodiscard]] std::vector<sql::command> batch_for(lease& held, const statement_run& run,
@@ -89,11 +89,11 @@
                                                       std::size_t& wanted) const;
     asio::awaitable<routing::link_reply> exchange(pool& backends, lease& held, std::vector<sql::command> batch,
                                                   std::size_t wanted, time_point until);
-    verdict judge_read(pool& backends, lease& held, const statement_run& run, routing::connection_want& want,
+    verdict judge_read(pool& backends, lease& held, const statement_run& run, routing::connection_request& want,
                        const routing::link_reply& got, sql::reply& out);
-    verdict judge_write(pool& backends, lease& held, const statement_run& run, routing::connection_want& want,
+    verdict judge_write(pool& backends, lease& held, const statement_run& run, routing::connection_request& want,
                         const routing::link_reply& got, sql::reply& out);
-    [[nodiscard]] static bool refused_again(routing::connection_want& want, const std::string& server);
+    [[nodiscard]] static bool refused_again(routing::connection_request& want, const std::string& server);
     asio::awaitable<bool> pin(transaction& inside, const statement_run& run, sql::reply& refusal);
     asio::awaitable<bool> open_read_only(pool& backends, lease& held, const std::optional<sql::log_position>& floor,
                                          time_point until);
@@ -101,8 +101,8 @@
     sql::reply fail_inside(transaction& inside, const statement_run& run, std::string_view reason);
     sql::reply finish_commit(transaction& inside, const statement_run& run, const routing::link_reply& got);
     [[nodiscard]] static sql::command command_of(const statement_run& run);
-    [[nodiscard]] routing::connection_want want_of(const pool& backends, const statement_run& run,
-                                                   bool needs_primary) const;
+    [[nodiscard]] routing::connection_request want_of(const pool& backends, const statement_run& run,
+                                                      bool needs_primary) const;
     void log_served(pool& backends, const lease& held, const statement_run& run,
                     const std::optional<sql::log_position>& floor) const;
     [[nodiscard]] static std::string describe_lag(const std::optional<sql::log_position>& floor, const sql::reply& got);
--- a/src/cornellever/session/statement_engine.ipp
+++ b/src/cornellever/session/statement_engine.ipp
@@ -29,9 +29,9 @@
 }
 
 template <routing::link_connector Connector>
-routing::connection_want statement_engine<Connector>::want_of(const pool& backends, const statement_run& run,
-                                                              bool needs_primary) const {
-    routing::connection_want out;
+routing::connection_request statement_engine<Connector>::want_of(const pool& backends, const statement_run& run,
+                                                                 bool needs_primary) const {
+    routing::connection_request out;
     out.session = &run.session;
     out.priority = run.route.priority;
     out.primary = needs_primary || run.route.reads == routing::consistency::primary;
@@ -61,23 +61,23 @@
     }
     const auto until = boot_clock::now() + std::min(sample_wait, run.route.target_latency);
     while (!backends.floor().floor(run.arrival, run.route.max_staleness, std::nullopt) && boot_clock::now() < until) {
-        backends.want_sample();
+        backends.request_sample();
         co_await sleep_for(sample_poll);
     }
 }
 
 template <routing::link_connector Connector>
 std::optional<sql::reply> statement_engine<Connector>::admit(pool& backends, const statement_run& run,
-                                                             routing::connection_want& want) {
+                                                             routing::connection_request& want) {
     if (want.primary && backends.path_cut()) {
         // Nothing here is going to change soon, and the caller's next try may
         // come to a proxy that reaches it.
         return refused_for_now("the path to the primary is cut", std::chrono::milliseconds{0});
     }
     const auto limits = limits_of(run);
-    const auto decision = want.primary && !backends.primary_answers()
+    const auto decision = want.primary && !backends.primary_reachable()
                               ? routing::admit_without_primary(limits)
-                              : routing::admit(backends.outlook(want, limits), limits);
+                              : routing::admit(backends.expected_load(want, limits), limits);
     if (!decision.admitted) {
         return refused_for_now("no connection free in time", decision.retry_after);
     }
@@ -97,7 +97,7 @@
               "request=" + run.request.id + " database=" + run.route.database + " service=" + run.route.service +
                   " server=" + held.server().id + " floor=" + (floor ? sql::to_string(*floor) : "lead") +
                   " sample_ms=" + (newest == nullptr ? "-" : std::to_string(to_ms(now - newest->asked_at))) +
-                  " in_flight=" + std::to_string(held->home->in_flight) + " waiting=" +
+                  " in_flight=" + std::to_string(held->server_entry->in_flight) + " waiting=" +
                   std::to_string(backends.waiting()) + " ran_ms=" + std::to_string(to_ms(now - held->sent_at)) +
                   " age_ms=" + std::to_string(to_ms(now - run.arrival)) +
                   " aim_ms=" + std::to_string(run.route.target_latency.count()));
@@ -106,7 +106,7 @@
 /// A connection, or the refusal to answer with.
 template <routing::link_connector Connector>
 asio::awaitable<typename statement_engine<Connector>::lease>
-statement_engine<Connector>::connection_for(pool& backends, const statement_run& run, routing::connection_want& want,
+statement_engine<Connector>::connection_for(pool& backends, const statement_run& run, routing::connection_request& want,
                                             sql::reply& refusal) {
     const auto asked = boot_clock::now();
     lease held;
@@ -118,7 +118,7 @@
         held = co_await backends.acquire(want);
         // It may have begun to wait before the primary was found to be lost;
         // then there is more time than under mere load.
-        if (held || !want.primary || backends.primary_answers()) {
+        if (held || !want.primary || backends.primary_reachable()) {
             break;
         }
     }
@@ -128,7 +128,7 @@
         co_return lease{};
     }
     const auto limits = limits_of(run);
-    if (!routing::worth_starting(backends.outlook(want, limits), limits.left)) {
+    if (!routing::has_time_to_run(backends.expected_load(want, limits), limits.left)) {
         held.release();
         refusal = refused_for_now("too late to run", std::chrono::milliseconds{100});
         co_return lease{};
@@ -138,10 +138,10 @@
 
 template <routing::link_connector Connector>
 asio::awaitable<bool> statement_engine<Connector>::arm(pool& backends, lease& held, time_point until) {
-    if (backends.armed_now(*held)) {
+    if (backends.is_primed(*held)) {
         co_return true;
     }
-    co_return co_await backends.prove_lead(*held, until);
+    co_return co_await backends.confirm_leadership(*held, until);
 }
 
 template <routing::link_connector Connector>
@@ -149,9 +149,9 @@
                                                                  const std::optional<sql::log_position>& floor,
                                                                  std::size_t& wanted) const {
     std::vector<sql::command> out;
-    const bool armed = std::exchange(held->armed, false);
-    if (armed && run.writes()) {
-        out.push_back(sql::own(sql::statement_kind::rollback));
+    const bool primed = std::exchange(held->primed, false);
+    if (primed && run.writes()) {
+        out.push_back(sql::proxy_command(sql::statement_kind::rollback));
     }
     for (auto& item : plan_replay(run.session, held->memory, run.prepared)) {
         out.push_back({.what = std::move(item)});
@@ -159,10 +159,10 @@
     wanted = out.size();
     out.push_back(command_of(run));
     if (run.writes()) {
-        out.push_back(sql::own(sql::statement_kind::begin));
-    } else if (armed) {
-        out.push_back(sql::own(sql::statement_kind::rollback));
-        out.push_back(sql::own(sql::statement_kind::begin));
+        out.push_back(sql::proxy_command(sql::statement_kind::begin));
+    } else if (primed) {
+        out.push_back(sql::proxy_command(sql::statement_kind::rollback));
+        out.push_back(sql::proxy_command(sql::statement_kind::begin));
     } else {
         out.back().after = floor;
     }
@@ -173,19 +173,19 @@
 asio::awaitable<routing::link_reply> statement_engine<Connector>::exchange(pool& backends, lease& held,
                                                                            std::vector<sql::command> batch,
                                                                            std::size_t wanted, time_point until) {
-    auto& at = *held->home;
+    auto& at = *held->server_entry;
     held->sent_at = boot_clock::now();
     const scoped_count running{at.in_flight};
-    backends.set_awaiting(*held, true);
+    backends.set_awaiting_reply(*held, true);
     auto got = co_await held->connection->exchange(std::move(batch), wanted, until);
-    backends.set_awaiting(*held, false);
+    backends.set_awaiting_reply(*held, false);
     if (!got) {
         backends.note_failure(at, got.error());
         log_event(event::connection_broken,
                   "server=" + at.server.id + " while=statement reason=" + std::string{routing::to_string(got.error())});
         co_return got;
     }
-    backends.heard(at, boot_clock::now() - held->sent_at);
+    backends.note_reply(at, boot_clock::now() - held->sent_at);
     backends.note_position(at, got->position);
     co_return got;
 }
@@ -209,10 +209,10 @@
             log_decision(event::request_refused, run, backends.primary(), out.error_text());
             break;
         }
-        const bool reads_at_primary = (want.primary || held->armed) && !run.writes();
-        if (reads_at_primary || (run.writes() && !backends.lead_proven())) {
-            const bool armed = co_await arm(backends, held, run.until());
-            if (!armed) {
+        const bool reads_at_primary = (want.primary || held->primed) && !run.writes();
+        if (reads_at_primary || (run.writes() && !backends.leadership_confirmed())) {
+            const bool primed = co_await arm(backends, held, run.until());
+            if (!primed) {
                 held.release();
                 continue;
             }
--- a/src/cornellever/session/statement_transactions.ipp
+++ b/src/cornellever/session/statement_transactions.ipp
@@ -9,16 +9,16 @@
                                                                   const std::optional<sql::log_position>& floor,
                                                                   time_point until) {
     std::vector<sql::command> batch;
-    batch.push_back(sql::own(sql::statement_kind::begin_read_only));
+    batch.push_back(sql::proxy_command(sql::statement_kind::begin_read_only));
     batch.back().after = floor;
     held->sent_at = boot_clock::now();
     auto answer = co_await held->connection->exchange(std::move(batch), 0, until);
-    auto& at = *held->home;
+    auto& at = *held->server_entry;
     if (!answer) {
         backends.note_failure(at, answer.error());
         co_return false;
     }
-    backends.heard(at, std::nullopt);
+    backends.note_reply(at, std::nullopt);
     backends.note_position(at, answer->position);
     co_return answer->ok();
 }
@@ -46,7 +46,7 @@
             co_return false;
         }
         bool opened = false;
-        if (want.primary || held->armed) {
+        if (want.primary || held->primed) {
             opened = co_await arm(backends, held, run.until());
         } else {
             opened = co_await open_read_only(backends, held, want.floor, run.until());
@@ -57,10 +57,10 @@
             co_return true;
         }
         if (!want.primary) {
-            want.avoid.push_back(held.server().id);
-            want.primary = want.avoid.size() + 1 >= backends.entries().size();
+            want.excluded_servers.push_back(held.server().id);
+            want.primary = want.excluded_servers.size() + 1 >= backends.entries().size();
             if (want.primary) {
-                want.avoid.clear();
+                want.excluded_servers.clear();
             }
         }
         held.release();
@@ -82,7 +82,7 @@
 sql::reply statement_engine<Connector>::finish_commit(transaction& inside, const statement_run& run,
                                                       const routing::link_reply& got) {
     auto& held = inside.pinned;
-    auto& at = *held->home;
+    auto& at = *held->server_entry;
     sql::reply out;
     if (got && got->ok()) {
         log_served(*inside.backends, held, run, inside.floor);
@@ -120,11 +120,11 @@
         }
     }
     auto& held = inside.pinned;
-    held->resting = false;
+    held->idle_in_transaction = false;
     if (auto forbidden = forbid_inside(inside, run)) {
         co_return *forbidden;
     }
-    const bool on_primary = held->armed;
+    const bool on_primary = held->primed;
     std::vector<sql::command> batch;
     for (auto& item : plan_replay(run.session, held->memory, run.prepared)) {
         batch.push_back({.what = std::move(item)});
@@ -133,9 +133,9 @@
     batch.push_back(command_of(run));
     inside.wrote = inside.wrote || run.writes();
     if (commit) {
-        held->armed = false;
+        held->primed = false;
         if (on_primary) {
-            batch.push_back(sql::own(sql::statement_kind::begin));
+            batch.push_back(sql::proxy_command(sql::statement_kind::begin));
         }
     }
     auto got = co_await exchange(*inside.backends, held, std::move(batch), wanted, run.until());
@@ -147,12 +147,12 @@
     }
     if (got->error) {
         if (got->why() == sql::refusal::not_primary) {
-            inside.backends->note_not_primary(*held->home);
+            inside.backends->note_not_primary(*held->server_entry);
         }
         co_return fail_inside(inside, run, sql::to_string(got->why()));
     }
     log_served(*inside.backends, held, run, inside.floor);
-    inside.backends->rest(*held);
+    inside.backends->mark_idle_in_transaction(*held);
     auto out = *got;
     out.state = sql::transaction_state::open;
     co_return out;
@@ -166,9 +166,9 @@
     ++m_counters.transactions_undone;
     auto& held = inside.pinned;
     std::vector<sql::command> batch;
-    batch.push_back(sql::own(sql::statement_kind::rollback));
-    if (std::exchange(held->armed, false)) {
-        batch.push_back(sql::own(sql::statement_kind::begin));
+    batch.push_back(sql::proxy_command(sql::statement_kind::rollback));
+    if (std::exchange(held->primed, false)) {
+        batch.push_back(sql::proxy_command(sql::statement_kind::begin));
     }
     held->sent_at = boot_clock::now();
     if (!held->connection->post(batch)) {
--- a/src/cornellever/session/statement_verdicts.ipp
+++ b/src/cornellever/session/statement_verdicts.ipp
@@ -7,21 +7,21 @@
 /// Whether a server refuses a request as not being the primary a second time:
 /// sent once more, it would go round until its caller's time is over.
 template <routing::link_connector Connector>
-bool statement_engine<Connector>::refused_again(routing::connection_want& want, const std::string& server) {
+bool statement_engine<Connector>::refused_again(routing::connection_request& want, const std::string& server) {
     return std::exchange(want.refused_by, server) == server;
 }
 
 template <routing::link_connector Connector>
 typename statement_engine<Connector>::verdict
 statement_engine<Connector>::judge_read(pool& backends, lease& held, const statement_run& run,
-                                        routing::connection_want& want, const routing::link_reply& got,
+                                        routing::connection_request& want, const routing::link_reply& got,
                                         sql::reply& out) {
-    auto& at = *held->home;
+    auto& at = *held->server_entry;
     const auto& id = at.server.id;
     if (!got) {
         log_decision(event::statement_retried, run, id, routing::to_string(got.error()));
         if (got.error() != routing::link_failure::not_sent && !want.primary) {
-            want.avoid.push_back(id);
+            want.excluded_servers.push_back(id);
         }
     } else if (got->ok()) {
         ++(id == backends.primary() ? m_counters.reads_on_primary : m_counters.reads_on_replicas);
@@ -33,7 +33,7 @@
                      why == sql::refusal::behind ? describe_lag(want.floor, *got) : std::string{sql::to_string(why)});
         switch (why) {
         case sql::refusal::behind:
-            want.avoid.push_back(id);
+            want.excluded_servers.push_back(id);
             break;
         case sql::refusal::not_primary:
             backends.note_not_primary(at);
@@ -47,18 +47,18 @@
                 out = refused_for_now("server busy", std::chrono::milliseconds{50});
                 return verdict::answered;
             }
-            want.avoid.push_back(id);
+            want.excluded_servers.push_back(id);
             break;
         case sql::refusal::no_such_prepared_statement:
             held->connection->close();
             break;
         case sql::refusal::failed:
         case sql::refusal::timed_out:
-            if (std::ranges::find(want.avoid, id) != want.avoid.end() || want.primary) {
+            if (std::ranges::find(want.excluded_servers, id) != want.excluded_servers.end() || want.primary) {
                 out = *got;
                 return verdict::answered;
             }
-            want.avoid.push_back(id);
+            want.excluded_servers.push_back(id);
             break;
         default:
             out = *got;
@@ -66,9 +66,9 @@
         }
     }
     // The primary holds every commit and proves it: what no replica can serve goes there.
-    if (!want.primary && want.avoid.size() + 1 >= backends.entries().size()) {
+    if (!want.primary && want.excluded_servers.size() + 1 >= backends.entries().size()) {
         want.primary = true;
-        want.avoid.clear();
+        want.excluded_servers.clear();
     }
     if (boot_clock::now() >= run.until()) {
         out = refused(sql::refusal::timed_out, "no answer in time", sql::transaction_state::idle);
@@ -80,9 +80,9 @@
 template <routing::link_connector Connector>
 typename statement_engine<Connector>::verdict
 statement_engine<Connector>::judge_write(pool& backends, lease& held, const statement_run& run,
-                                         routing::connection_want& want, const routing::link_reply& got,
+                                         routing::connection_request& want, const routing::link_reply& got,
                                          sql::reply& out) {
-    auto& at = *held->home;
+    auto& at = *held->server_entry;
     const auto& id = at.server.id;
     if (!got) {
         if (got.error() == routing::link_failure::not_sent) {
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -77,7 +77,7 @@
     }
 
     /// Another proxy knows how far a primary's log had come.
-    void note_told(const std::string& service, told_log what);
+    void note_reported_position(const std::string& service, told_log what);
 
     /// Housekeeping of the pools and of sessions whose path was cut.
     void tick() {
--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -53,7 +53,7 @@
     if (found == nullptr) {
         found = std::make_unique<pool>(m_executor, m_connector, service, m_data_center);
         if (const auto told = m_told_logs.extract(service)) {
-            found->note_told(told.mapped().server, told.mapped().furthest);
+            found->note_reported_position(told.mapped().server, told.mapped().furthest);
         }
         share_connections_anew();
         share_servers();
@@ -62,9 +62,9 @@
 }
 
 template <routing::link_connector Connector>
-void traffic<Connector>::note_told(const std::string& service, told_log what) {
+void traffic<Connector>::note_reported_position(const std::string& service, told_log what) {
     if (const auto found = m_pools.find(service); found != m_pools.end()) {
-        found->second->note_told(what.server, what.furthest);
+        found->second->note_reported_position(what.server, what.furthest);
     } else if (m_config.services.contains(service)) {
         m_told_logs.insert_or_assign(service, std::move(what));
     }
@@ -237,7 +237,7 @@
 
 template <routing::link_connector Connector>
 sql::reply traffic<Connector>::prepare(conversation& with, const sql::statement& what) {
-    with.state.prepared.insert_or_assign(what.name, prepared_statement{what.touches, what.text});
+    with.state.prepared.insert_or_assign(what.name, prepared_statement{what.access_mode, what.text});
     return acknowledged(state_of(with));
 }
 
--- a/src/cornellever/session/traffic_relay.ipp
+++ b/src/cornellever/session/traffic_relay.ipp
@@ -104,7 +104,8 @@
         pass_on(part, asked);
         return acknowledged(part.state);
     case sql::statement_kind::prepare:
-        with.state.prepared.insert_or_assign(asked.what.name, prepared_statement{asked.what.touches, asked.what.text});
+        with.state.prepared.insert_or_assign(asked.what.name,
+                                             prepared_statement{asked.what.access_mode, asked.what.text});
         pass_on(part, asked);
         return acknowledged(part.state);
     case sql::statement_kind::deallocate:
@@ -175,7 +176,7 @@
 bool traffic<Connector>::writes(const conversation& with, const sql::request& asked) {
     if (asked.what.kind == sql::statement_kind::execute) {
         const auto found = with.state.prepared.find(asked.what.name);
-        return found != with.state.prepared.end() && found->second.touches == sql::access::write;
+        return found != with.state.prepared.end() && found->second.access_mode == sql::access::write;
     }
     return asked.what.kind == sql::statement_kind::write;
 }
--- a/src/cornellever/session/traffic_sharing.ipp
+++ b/src/cornellever/session/traffic_sharing.ipp
@@ -57,10 +57,10 @@
 std::vector<proxy_place> traffic<Connector>::ways_round(const std::string& database, std::uint64_t session) const {
     const auto route = m_config.routes.find(database);
     const auto found = route == m_config.routes.end() ? m_pools.end() : m_pools.find(route->second.service);
-    if (found == m_pools.end() || !found->second->primary_silent_for(cut_after)) {
+    if (found == m_pools.end() || !found->second->primary_unreachable_for(cut_after)) {
         return {};
     }
-    return m_paths.through(found->first, session, boot_clock::now(), found->second->sight().heard_at);
+    return m_paths.through(found->first, session, boot_clock::now(), found->second->observation().last_contact_at);
 }
 
 /// Tells each pool whether its primary is lost to this proxy alone.
@@ -68,8 +68,9 @@
 void traffic<Connector>::watch_paths() {
     const auto now = boot_clock::now();
     for (auto& [name, backends] : m_pools) {
-        const bool silent = backends->primary_silent_for(cut_after);
-        backends->set_path_cut(silent && !m_paths.through(name, 0, now, backends->sight().heard_at).empty());
+        const bool silent = backends->primary_unreachable_for(cut_after);
+        backends->set_path_cut(silent &&
+                               !m_paths.through(name, 0, now, backends->observation().last_contact_at).empty());
     }
 }
 
--- a/src/cornellever/sql/statement.hpp
+++ b/src/cornellever/sql/statement.hpp
@@ -35,7 +35,7 @@
     /// `execute`, `deallocate`).
     std::string name{};
     /// What a prepared statement touches (`prepare`).
-    access touches{access::read};
+    access access_mode{access::read};
     /// The value (`set`), the shape (`prepare`), or the operands exactly as
     /// the caller wrote them (`read`, `write`, `execute`).
     std::string text{};
@@ -57,7 +57,7 @@
 };
 
 /// A command of the proxy's own without operands.
-[[nodiscard]] inline command own(statement_kind kind) {
+[[nodiscard]] inline command proxy_command(statement_kind kind) {
     return command{.what = statement{.kind = kind}};
 }
 
--- a/tests/platform/registrations.cpp
+++ b/tests/platform/registrations.cpp
@@ -73,8 +73,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_time_of_a_servers_start_is_a_whole_number_or_absent) {
-    BOOST_TEST(platform::decode_server("i-1", registration()).value().born_ms == 1700U);
-    BOOST_TEST(platform::decode_server("i-1", registration("born", "")).value().born_ms == 0U);
+    BOOST_TEST(platform::decode_server("i-1", registration()).value().started_at_ms == 1700U);
+    BOOST_TEST(platform::decode_server("i-1", registration("born", "")).value().started_at_ms == 0U);
     for (const auto* odd : {"-1", "\"1700\"", "1.5", "null", "1e300"}) {
         BOOST_TEST(!platform::decode_server("i-1", registration("born", odd)).has_value(), odd);
     }
--- a/tests/platform/wire.cpp
+++ b/tests/platform/wire.cpp
@@ -71,7 +71,7 @@
     BOOST_TEST(write.what.text == "1a4  two  blanks ");
     const auto prepare = decoded("QUERY 7 PREPARE s1 WRITE q2c");
     BOOST_TEST(prepare.what.name == "s1");
-    BOOST_TEST((prepare.what.touches == sql::access::write));
+    BOOST_TEST((prepare.what.access_mode == sql::access::write));
     BOOST_TEST(decoded("QUERY 7 EXECUTE s1 1a4 x").what.text == "1a4 x");
     BOOST_TEST(decoded("QUERY 7 EXECUTE s1").what.text.empty());
 }
@@ -94,7 +94,7 @@
     const auto read = decoded("QUERY 5c READ 1a4");
     BOOST_TEST(platform::encode_command({read.id, read.what, sql::log_position{3, 7}}) ==
                "QUERY 5c AFTER 3.7 READ 1a4\r\n");
-    BOOST_TEST(platform::encode_command(sql::own(statement_kind::begin)) == "QUERY - BEGIN\r\n");
+    BOOST_TEST(platform::encode_command(sql::proxy_command(statement_kind::begin)) == "QUERY - BEGIN\r\n");
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_is_taken_line_by_line) {
@@ -140,7 +140,7 @@
 BOOST_AUTO_TEST_CASE(a_servers_report_is_decoded) {
     const auto status = platform::decode_status("replica 3 3.1209 0 12 2 17");
     BOOST_TEST_REQUIRE(status.has_value());
-    BOOST_TEST(!status->leads);
+    BOOST_TEST(!status->is_primary);
     BOOST_TEST((status->received == sql::log_position{3, 1209}));
     BOOST_TEST(!platform::decode_status("replica three"));
     BOOST_TEST(!platform::parse_position("3"));
--- a/tests/platform/wire_server.hpp
+++ b/tests/platform/wire_server.hpp
@@ -13,12 +13,12 @@
 /// as its pages say, in memory. Everything it is sent is noted down.
 class wire_server {
 public:
-    wire_server(asio::io_context& io, std::string service, std::string id, bool leads)
+    wire_server(asio::io_context& io, std::string service, std::string id, bool is_primary)
         : m_io{io}
         , m_acceptor{io, tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0}}
         , m_service{std::move(service)}
         , m_id{std::move(id)}
-        , m_leads{leads} {
+        , m_leads{is_primary} {
         asio::co_spawn(m_io, accept(), asio::detached);
     }
 
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -448,7 +448,7 @@
     proxy_in_memory proxy{proxy_in_memory::unconfigured{}};
     session::traffic<fake_connector> host{proxy.io.get_executor(), proxy.connector, "a", "here",
                                           accounts::configuration_lease{400ms}};
-    proxy.connector.servers["p"].leads = true;
+    proxy.connector.servers["p"].is_primary = true;
     host.update(with_accounts(2));
     host.update(three_servers());
     host.set_proxies(places(3));
--- a/tests/unit/cluster.cpp
+++ b/tests/unit/cluster.cpp
@@ -151,11 +151,11 @@
                                  .primary = "q",
                                  .log_lost = true,
                                  .sample = cluster::aged_sample{8ms, {2, 66}},
-                                 .furthest = sql::log_position{2, 70}});
+                                 .highest_position = sql::log_position{2, 70}});
     message.primaries.push_back({.service = "usual",
                                  .primary = "r",
                                  .sample = cluster::aged_sample{8ms, {2, 66}},
-                                 .furthest = sql::log_position{2, 66}});
+                                 .highest_position = sql::log_position{2, 66}});
     message.heard.push_back({"proxy-2", 40ms});
     const auto back = cluster::decode(cluster::encode(message));
     BOOST_TEST_REQUIRE(back.has_value());
@@ -166,10 +166,10 @@
     BOOST_TEST_REQUIRE(back->primaries.size() == 4U);
     BOOST_TEST(back->primaries[0].refused);
     BOOST_TEST(!back->primaries[0].log_lost);
-    BOOST_TEST(!back->primaries[0].furthest.has_value());
+    BOOST_TEST(!back->primaries[0].highest_position.has_value());
     BOOST_TEST(back->primaries[2].log_lost);
-    BOOST_TEST((back->primaries[2].furthest == sql::log_position{2, 70}));
-    BOOST_TEST((back->primaries[3].furthest == sql::log_position{2, 66}));
+    BOOST_TEST((back->primaries[2].highest_position == sql::log_position{2, 70}));
+    BOOST_TEST((back->primaries[3].highest_position == sql::log_position{2, 66}));
     BOOST_TEST((back->primaries[0].sample->position == sql::log_position{2, 66}));
     BOOST_TEST(back->primaries[1].primary.empty());
     BOOST_TEST(back->cluster == 77U);
--- a/tests/unit/fake_link.hpp
+++ b/tests/unit/fake_link.hpp
@@ -34,7 +34,7 @@
 
 /// A backend server in memory, with the failures that tests bring about.
 struct fake_server {
-    bool leads{false};
+    bool is_primary{false};
     sql::log_position position{1, 10};
     /// Opening a connection is refused, or not answered.
     std::optional<routing::connect_failure> connect_fails{};
@@ -49,7 +49,7 @@
     /// So many callers' statements are refused.
     int refuse{0};
     sql::refusal refuse_with{sql::refusal::overloaded};
-    std::vector<met_statement> met{};
+    std::vector<met_statement> received_statements{};
     int connections{0};
     /// Connections open now, and the most there were since a test set it back.
     int open{0};
@@ -57,12 +57,13 @@
 
     [[nodiscard]] std::vector<met_statement> of(const std::string& id) const {
         std::vector<met_statement> out;
-        std::ranges::copy_if(met, std::back_inserter(out), [&](const auto& item) { return item.id == id; });
+        std::ranges::copy_if(received_statements, std::back_inserter(out),
+                             [&](const auto& item) { return item.id == id; });
         return out;
     }
     [[nodiscard]] std::size_t count(sql::statement_kind kind) const {
         return static_cast<std::size_t>(
-            std::ranges::count_if(met, [&](const auto& item) { return item.kind == kind; }));
+            std::ranges::count_if(received_statements, [&](const auto& item) { return item.kind == kind; }));
     }
 };
 
@@ -112,7 +113,7 @@
         return true;
     }
 
-    asio::awaitable<routing::link_reply> settle(boot_clock::time_point) {
+    asio::awaitable<routing::link_reply> await_pending(boot_clock::time_point) {
         if (m_server.silent || m_lost) {
             close();
             co_return std::unexpected{routing::link_failure::silent};
@@ -127,8 +128,8 @@
 
 private:
     void run(const sql::command& what) {
-        m_server.met.push_back({m_number, m_batch, what.request_id, what.what.kind, what.what.text,
-                                m_state == sql::transaction_state::open, m_account, m_values});
+        m_server.received_statements.push_back({m_number, m_batch, what.request_id, what.what.kind, what.what.text,
+                                                m_state == sql::transaction_state::open, m_account, m_values});
         m_owed.push_back(answer(what));
         if (!what.request_id.empty() && m_server.lose_answers > 0) {
             --m_server.lose_answers;
@@ -157,14 +158,14 @@
         if (what.after && m_server.position < *what.after) {
             return refuse(sql::refusal::behind);
         }
-        const bool lost_lead = m_plain && !m_server.leads;
+        const bool lost_lead = m_plain && !m_server.is_primary;
         if (kind == statement_kind::rollback) {
             m_state = sql::transaction_state::idle;
             m_plain = false;
         } else if (m_state == sql::transaction_state::failed) {
             return refuse(sql::refusal::malformed);
         } else if (kind == statement_kind::begin) {
-            if (!m_server.leads) {
+            if (!m_server.is_primary) {
                 return refuse(sql::refusal::not_primary);
             }
             m_state = sql::transaction_state::open;
@@ -175,7 +176,7 @@
             m_values.insert_or_assign(what.what.name, what.what.text);
         } else if (kind == statement_kind::reset) {
             m_values.clear();
-        } else if (lost_lead || (kind == statement_kind::write && !m_server.leads)) {
+        } else if (lost_lead || (kind == statement_kind::write && !m_server.is_primary)) {
             return refuse(sql::refusal::not_primary);
         } else if (kind == statement_kind::commit) {
             m_state = sql::transaction_state::idle;
@@ -215,7 +216,7 @@
     /// It is gone after so many answers.
     int answers{1000};
     /// It refuses what is passed on to it.
-    bool refuses_passed_on{false};
+    bool refuses_forwarded{false};
     /// The last commits that sessions were opened with.
     std::vector<std::optional<sql::log_position>> opened_after{};
     /// The position that its answers name.
@@ -229,7 +230,7 @@
 
     asio::awaitable<routing::link_reply> ask(const sql::request& request, boot_clock::time_point) {
         for (; m_owed > 0; --m_owed) {
-            if (m_owner.answers-- <= 0 || m_owner.refuses_passed_on) {
+            if (m_owner.answers-- <= 0 || m_owner.refuses_forwarded) {
                 m_open = false;
                 co_return std::unexpected{routing::link_failure::not_sent};
             }
--- a/tests/unit/promotions.cpp
+++ b/tests/unit/promotions.cpp
@@ -124,16 +124,16 @@
         out.push_back({choice, {1, 10}, false, in.leader == choice});
         co_return out;
     }
-    asio::awaitable<bool> leads_now(std::string, std::string id, std::chrono::milliseconds) {
+    asio::awaitable<bool> is_primary_now(std::string, std::string id, std::chrono::milliseconds) {
         co_return in.old_is_back&& in.leader == id;
     }
     asio::awaitable<bool> await_lead(std::string, std::string id, std::chrono::milliseconds) {
-        bool leads = false;
+        bool is_primary = false;
         std::vector<fate> fates{fate::answered};
-        std::function<void()> apply = [&] { leads = in.leader == id; };
+        std::function<void()> apply = [&] { is_primary = in.leader == id; };
         std::string what{"await"};
         (void)co_await in.decide(std::move(what), std::move(fates), std::move(apply));
-        co_return leads;
+        co_return is_primary;
     }
 };
 
@@ -347,7 +347,7 @@
 // Guards against an empty server whose lead counts although another one holds the log.
 BOOST_AUTO_TEST_CASE(a_server_that_leads_without_a_log_does_not_end_a_promotion) {
     using cluster::replica_report;
-    const replica_report empty{.id = "empty", .received = {2, 0}, .leads = true};
+    const replica_report empty{.id = "empty", .received = {2, 0}, .is_primary = true};
     const replica_report before{.id = "before", .received = {1, 30}};
     BOOST_TEST(cluster::lacks_entries_of(empty, std::vector{empty, before}));
     BOOST_TEST(
--- a/tests/unit/proxy_in_memory.hpp
+++ b/tests/unit/proxy_in_memory.hpp
@@ -34,7 +34,7 @@
     explicit proxy_in_memory(unconfigured) {}
 
     void configure() {
-        connector.servers["p"].leads = true;
+        connector.servers["p"].is_primary = true;
         host.update(three_databases());
         host.update(three_servers());
         host.set_proxies(places(3));
--- a/tests/unit/rebirth.cpp
+++ b/tests/unit/rebirth.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-/// The registry in which `id` started again at `born_ms`.
-routing::registry reborn(const std::string& id, std::uint64_t version, std::uint64_t born_ms,
+/// The registry in which `id` started again at `started_at_ms`.
+routing::registry reborn(const std::string& id, std::uint64_t version, std::uint64_t started_at_ms,
                          routing::server_role role = routing::server_role::replica) {
     auto out = three_servers();
     out.version = version;
     for (auto& [name, server] : out.servers) {
-        server.born_ms = 1000;
+        server.started_at_ms = 1000;
     }
-    out.servers[id].born_ms = born_ms;
+    out.servers[id].started_at_ms = started_at_ms;
     out.servers[id].role = role;
     return out;
 }
@@ -39,8 +39,8 @@
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
     caller.before[2] = [&] {
-        proxy.server("p").leads = false;
-        proxy.server("r1").leads = true;
+        proxy.server("p").is_primary = false;
+        proxy.server("r1").is_primary = true;
         proxy.host.update(reborn("p", 3, 2000));
         BOOST_TEST(proxy.host.pool_for("stock").primary() != "p");
     };
@@ -58,9 +58,9 @@
     auto& pool = proxy.host.pool_for("stock");
     const auto before = boot_clock::now();
     proxy.host.update(reborn("p", 3, 2000));
-    pool.believe("p", before);
+    pool.accept_peer_confirmation("p", before);
     BOOST_TEST(pool.primary().empty());
-    pool.believe("p", boot_clock::now());
+    pool.accept_peer_confirmation("p", boot_clock::now());
     BOOST_TEST(pool.primary() == "p");
 }
 
@@ -124,9 +124,9 @@
     BOOST_TEST(!caller.answers[2].ok());
     BOOST_TEST(proxy.server("p").of("b").empty());
     // What the others are told, so that one with the commits is promoted.
-    const auto sight = proxy.host.pool_for("stock").sight();
-    BOOST_TEST(sight.id == "p");
-    BOOST_TEST(sight.unreachable);
+    const auto observation = proxy.host.pool_for("stock").observation();
+    BOOST_TEST(observation.id == "p");
+    BOOST_TEST(observation.unreachable);
 }
 
 // As above, and nobody had noticed that it was away: no registration changed.
@@ -140,8 +140,8 @@
         proxy.server("p").reset_connections = true;
     };
     caller.before[4] = [&] {
-        proxy.server("p").leads = false;
-        proxy.server("r1").leads = true;
+        proxy.server("p").is_primary = false;
+        proxy.server("r1").is_primary = true;
         proxy.server("r1").position = {2, 11};
     };
     proxy.play({&caller});
@@ -161,8 +161,8 @@
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x"),
                                     ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1")}};
     caller.before[3] = [&] {
-        proxy.server("p").leads = false;
-        proxy.server("r1").leads = true;
+        proxy.server("p").is_primary = false;
+        proxy.server("r1").is_primary = true;
         proxy.server("r1").position = {1, 4};
     };
     proxy.play({&caller});
@@ -181,9 +181,9 @@
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(!caller.answers[0].ok());
     BOOST_TEST(proxy.server("p").of("a").empty());
-    const auto sight = proxy.host.pool_for("stock").sight();
-    BOOST_TEST(sight.id == "p");
-    BOOST_TEST(sight.log_lost);
+    const auto observation = proxy.host.pool_for("stock").observation();
+    BOOST_TEST(observation.id == "p");
+    BOOST_TEST(observation.log_lost);
 }
 
 // Guards against a write that is acknowledged by a primary without its log and lost with the promotion.
@@ -216,7 +216,7 @@
     proxy.server("p").position = {1, 3};
     proxy.server("r1").connect_fails = routing::connect_failure::refused;
     proxy.server("r2").connect_fails = routing::connect_failure::refused;
-    proxy.host.note_told("stock", {"p", {1, 9}});
+    proxy.host.note_reported_position("stock", {"p", {1, 9}});
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
@@ -231,9 +231,9 @@
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     auto& pool = proxy.host.pool_for("stock");
-    pool.believe("p", boot_clock::now());
+    pool.accept_peer_confirmation("p", boot_clock::now());
     BOOST_TEST(pool.primary().empty());
-    BOOST_TEST(pool.sight().log_lost);
+    BOOST_TEST(pool.observation().log_lost);
 }
 
 // Guards against an empty primary that counts as healthy because the only log left is of an earlier term.
@@ -246,7 +246,7 @@
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(!caller.answers[0].ok());
-    BOOST_TEST(proxy.host.pool_for("stock").sight().log_lost);
+    BOOST_TEST(proxy.host.pool_for("stock").observation().log_lost);
 }
 
 // Guards against a finding that is hidden by the row of a primary that crashed before.
@@ -257,23 +257,23 @@
     proxy.play({&caller});
     proxy.server("r1").connect_fails = routing::connect_failure::refused;
     proxy.host.update(reborn("r1", 5, 1000, routing::server_role::primary));
-    const auto sight = proxy.host.pool_for("stock").sight();
-    BOOST_TEST(sight.id == "p");
-    BOOST_TEST(sight.log_lost);
+    const auto observation = proxy.host.pool_for("stock").observation();
+    BOOST_TEST(observation.id == "p");
+    BOOST_TEST(observation.log_lost);
 }
 
 // Guards against a record of an earlier lead that makes a server unusable when it leads again.
 BOOST_AUTO_TEST_CASE(what_a_server_named_while_it_led_counts_until_another_one_leads) {
-    routing::leader_log log;
+    routing::log_high_water_mark log;
     const auto now = boot_clock::now();
     log.note("p", {1, 9}, now);
-    log.note_told("r1", {1, 7}, now);
-    BOOST_TEST(log.shorter_at("p", {1, 8}, now + 1ms));
-    log.note_leader("r1");
-    BOOST_TEST(!log.shorter_at("p", {1, 8}, now + 1ms));
-    BOOST_TEST(!log.furthest_of("r1").has_value());
-    log.note_told("p", {1, 9}, now);
-    BOOST_TEST(!log.shorter_at("p", {1, 8}, now + 1ms));
+    log.note_reported_position("r1", {1, 7}, now);
+    BOOST_TEST(log.is_truncated("p", {1, 8}, now + 1ms));
+    log.set_primary("r1");
+    BOOST_TEST(!log.is_truncated("p", {1, 8}, now + 1ms));
+    BOOST_TEST(!log.highest_position_of("r1").has_value());
+    log.note_reported_position("p", {1, 9}, now);
+    BOOST_TEST(!log.is_truncated("p", {1, 8}, now + 1ms));
 }
 
 // Guards against a statement that is sent again without end to a server that proves its lead and refuses writes.
@@ -292,11 +292,11 @@
 
 // Guards against a storm of questions and log lines about a server that proves its lead and refuses writes.
 BOOST_AUTO_TEST_CASE(a_primary_that_refuses_its_lead_is_taken_for_it_again_ever_less_often) {
-    routing::lead_doubt doubt;
+    routing::leadership_backoff doubt;
     const auto begun = boot_clock::now();
     int taken = 0;
     for (auto now = begun; now < begun + 4s; now += 1ms) {
-        if (doubt.admits(now)) {
+        if (doubt.accepts_confirmation(now)) {
             ++taken;
             doubt.note_refusal(now);
         }
@@ -304,18 +304,18 @@
     BOOST_TEST(taken >= 5);
     BOOST_TEST(taken <= 12);
     doubt.clear();
-    BOOST_TEST(doubt.admits(begun));
+    BOOST_TEST(doubt.accepts_confirmation(begun));
 }
 
 // Servers of an older kind do not tell when they started, and a row that was
 // written before may come late: neither is a rebirth.
 BOOST_AUTO_TEST_CASE(a_start_that_is_unknown_or_earlier_is_no_rebirth) {
     routing::backend_server known;
-    known.born_ms = 2000;
+    known.started_at_ms = 2000;
     routing::backend_server other;
     BOOST_TEST(!other.started_after(known));
     BOOST_TEST(!known.started_after(other));
-    other.born_ms = 1000;
+    other.started_at_ms = 1000;
     BOOST_TEST(!other.started_after(known));
     BOOST_TEST(known.started_after(other));
 }
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -23,7 +23,7 @@
             .primary = primary,
             .in_flight = in_flight,
             .idle = idle,
-            .typical = std::chrono::duration<double, std::milli>{typical_ms}};
+            .statement_time = std::chrono::duration<double, std::milli>{typical_ms}};
 }
 
 std::vector<session::proxy_place> many_places(int count) {
@@ -92,7 +92,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_request_whose_turn_comes_too_late_is_refused_at_once) {
-    const routing::load_view load{.ahead = 60, .connections = 2, .typical = 10ms};
+    const routing::load_view load{.ahead = 60, .connections = 2, .statement_time = 10ms};
     const auto refused = routing::admit(load, {.left = 800ms, .target = 200ms});
     BOOST_TEST(!refused.admitted);
     BOOST_TEST((refused.retry_after >= 100ms));
@@ -133,7 +133,7 @@
             }
         }
         if (now % 7 == 0) {
-            const routing::load_view load{.ahead = line.size(), .connections = lanes, .typical = 30ms};
+            const routing::load_view load{.ahead = line.size(), .connections = lanes, .statement_time = 30ms};
             if (routing::admit(load, {.left = 800ms, .target = 200ms}).admitted) {
                 line.push_back(now);
             } else {
@@ -148,9 +148,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_got_its_turn_too_late_is_not_begun) {
-    const routing::load_view load{.ahead = 0, .connections = 2, .typical = 30ms};
-    BOOST_TEST(!routing::worth_starting(load, 20ms));
-    BOOST_TEST(routing::worth_starting(load, 50ms));
+    const routing::load_view load{.ahead = 0, .connections = 2, .statement_time = 30ms};
+    BOOST_TEST(!routing::has_time_to_run(load, 20ms));
+    BOOST_TEST(routing::has_time_to_run(load, 50ms));
 }
 
 BOOST_AUTO_TEST_CASE(the_line_is_served_by_priority_and_then_by_time_left) {
@@ -158,7 +158,7 @@
     waiting late{2, start + 9s};
     waiting soon{2, start + 1s};
     waiting first{1, start + 20s};
-    routing::waiting_line<waiting> line;
+    routing::wait_queue<waiting> line;
     line.join(late);
     line.join(soon);
     line.join(first);
--- a/tests/unit/sessions.cpp
+++ b/tests/unit/sessions.cpp
@@ -66,14 +66,15 @@
     BOOST_TEST(ok(caller, 0));
     BOOST_TEST(ok(caller, 1));
     for (const auto* id : {"a", "b"}) {
-        const auto met = proxy.server("p").of(id);
-        BOOST_TEST_REQUIRE(met.size() == 1U);
-        BOOST_TEST(met.front().in_transaction);
-        for (const auto& item : proxy.server("p").met) {
-            const bool same_packet = item.connection == met.front().connection && item.batch == met.front().batch;
+        const auto received_statements = proxy.server("p").of(id);
+        BOOST_TEST_REQUIRE(received_statements.size() == 1U);
+        BOOST_TEST(received_statements.front().in_transaction);
+        for (const auto& item : proxy.server("p").received_statements) {
+            const bool same_packet = item.connection == received_statements.front().connection &&
+                                     item.batch == received_statements.front().batch;
             if (same_packet && item.kind == statement_kind::begin) {
                 // The BEGIN in the packet of a read stands behind it, for the next one.
-                BOOST_TEST((&item > &proxy.server("p").met.front()));
+                BOOST_TEST((&item > &proxy.server("p").received_statements.front()));
             }
         }
     }
@@ -86,8 +87,8 @@
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
     caller.before[2] = [&] {
-        proxy.server("p").leads = false;
-        proxy.server("r1").leads = true;
+        proxy.server("p").is_primary = false;
+        proxy.server("r1").is_primary = true;
     };
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 1));
@@ -132,8 +133,8 @@
 
 BOOST_AUTO_TEST_CASE(a_write_refused_before_it_ran_goes_to_the_new_primary) {
     proxy_in_memory proxy;
-    proxy.server("p").leads = false;
-    proxy.server("r2").leads = true;
+    proxy.server("p").is_primary = false;
+    proxy.server("r2").is_primary = true;
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
@@ -222,13 +223,13 @@
     caller_script caller{
         .events = {opening("strict"), ask("b", statement_kind::begin), ask("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
-    const auto& met = proxy.server("p").met;
-    const auto write = std::ranges::find_if(met, [](const auto& item) { return item.id == "w"; });
-    BOOST_TEST_REQUIRE((write != met.end()));
-    const auto undone = std::find_if(write, met.end(), [&](const auto& item) {
+    const auto& received_statements = proxy.server("p").received_statements;
+    const auto write = std::ranges::find_if(received_statements, [](const auto& item) { return item.id == "w"; });
+    BOOST_TEST_REQUIRE((write != received_statements.end()));
+    const auto undone = std::find_if(write, received_statements.end(), [&](const auto& item) {
         return item.kind == statement_kind::rollback && item.connection == write->connection;
     });
-    BOOST_TEST((undone != met.end()));
+    BOOST_TEST((undone != received_statements.end()));
 }
 
 // A caller rests inside a transaction, and the connection that it holds is
@@ -273,16 +274,15 @@
     std::size_t begun_before = 0;
     caller.before[2] = [&] {
         proxy.host.update(three_databases(2));
-        begun_before = proxy.server("p").met.size();
+        begun_before = proxy.server("p").received_statements.size();
     };
     proxy.play({&caller});
-    const auto& met = proxy.server("p").met;
-    const auto read = std::ranges::find_if(met, [](const auto& item) { return item.id == "b"; });
-    BOOST_TEST_REQUIRE((read != met.end()));
-    const auto opened =
-        std::find_if(met.begin() + static_cast<std::ptrdiff_t>(begun_before), read, [&](const auto& item) {
-            return item.kind == statement_kind::begin && item.connection == read->connection;
-        });
+    const auto& received_statements = proxy.server("p").received_statements;
+    const auto read = std::ranges::find_if(received_statements, [](const auto& item) { return item.id == "b"; });
+    BOOST_TEST_REQUIRE((read != received_statements.end()));
+    const auto opened = std::find_if(
+        received_statements.begin() + static_cast<std::ptrdiff_t>(begun_before), read,
+        [&](const auto& item) { return item.kind == statement_kind::begin && item.connection == read->connection; });
     BOOST_TEST((opened != read));
 }
 
@@ -348,8 +348,8 @@
 BOOST_AUTO_TEST_CASE(a_request_goes_on_waiting_once_the_primary_is_found_to_be_lost) {
     proxy_in_memory proxy;
     proxy.server("p").connect_fails = routing::connect_failure::refused;
-    proxy.server("p").leads = false;
-    proxy.server("r1").leads = true;
+    proxy.server("p").is_primary = false;
+    proxy.server("r1").is_primary = true;
     asio::steady_timer promoted{proxy.io, 150ms};
     promoted.async_wait([&](const boost::system::error_code&) {
         auto servers = three_servers();
@@ -368,7 +368,7 @@
 BOOST_AUTO_TEST_CASE(without_any_primary_a_write_is_refused_as_not_run_with_a_time_to_come_back) {
     proxy_in_memory proxy;
     for (const auto* id : {"p", "r1", "r2"}) {
-        proxy.server(id).leads = false;
+        proxy.server(id).is_primary = false;
     }
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
@@ -394,7 +394,7 @@
                                     ask("c", statement_kind::commit)}};
     proxy.play({&caller});
     BOOST_TEST(caller.answers[0].signature == "owner-r");
-    BOOST_TEST(proxy.server("p").met.empty());
+    BOOST_TEST(proxy.server("p").received_statements.empty());
     // The owner is gone before it answers the commit: it may have run.
     BOOST_TEST((why(caller, 3) == refusal::outcome_unknown));
     // A session that another proxy relayed is served here.
@@ -427,7 +427,7 @@
 // refused the BEGIN that had been acknowledged.
 BOOST_AUTO_TEST_CASE(nothing_runs_behind_a_begin_that_the_owner_refused) {
     relaying_proxy proxy;
-    proxy.owner->refuses_passed_on = true;
+    proxy.owner->refuses_forwarded = true;
     caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
                                     ask("w", statement_kind::write, "1 x"), ask("c", statement_kind::commit)}};
     proxy.play({&caller});
