--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -12,7 +12,7 @@
 
 #include "cornellever/core/boot_clock.hpp"
 #include "cornellever/routing/backend_link.hpp"
-#include "cornellever/routing/lead_doubt.hpp"
+#include "cornellever/routing/leadership_backoff.hpp"
 #include "cornellever/routing/model.hpp"
 #include "cornellever/routing/replica_progress.hpp"
 #include "cornellever/session/connection_memory.hpp"
--- a/src/cornellever/routing/turn_outlook.cpp
+++ b/src/cornellever/routing/queue_estimate.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/routing/turn_outlook.hpp"
+#include "cornellever/routing/queue_estimate.hpp"
 
 #include <algorithm>
 
--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -19,13 +19,13 @@
 #include "cornellever/routing/admission.hpp"
 #include "cornellever/routing/connection_budget.hpp"
 #include "cornellever/routing/connection_lease.hpp"
-#include "cornellever/routing/connection_want.hpp"
-#include "cornellever/routing/leader_log.hpp"
+#include "cornellever/routing/connection_request.hpp"
+#include "cornellever/routing/log_high_water_mark.hpp"
 #include "cornellever/routing/placement.hpp"
 #include "cornellever/routing/pool_entry.hpp"
+#include "cornellever/routing/queue_estimate.hpp"
 #include "cornellever/routing/read_floor.hpp"
-#include "cornellever/routing/turn_outlook.hpp"
-#include "cornellever/routing/waiting_line.hpp"
+#include "cornellever/routing/wait_queue.hpp"
 #include "cornellever/sql/reply.hpp"
 
 namespace cornellever::routing {
@@ -335,6 +335,6 @@
 
 #include "cornellever/routing/service_pool.ipp"
 #include "cornellever/routing/service_pool_accounts.ipp"
-#include "cornellever/routing/service_pool_lead.ipp"
-#include "cornellever/routing/service_pool_line.ipp"
+#include "cornellever/routing/service_pool_leadership.ipp"
 #include "cornellever/routing/service_pool_primary.ipp"
+#include "cornellever/routing/service_pool_queue.ipp"
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -5,7 +5,7 @@
 #include "cornellever/routing/admission.hpp"
 #include "cornellever/routing/connection_budget.hpp"
 #include "cornellever/routing/placement.hpp"
-#include "cornellever/routing/waiting_line.hpp"
+#include "cornellever/routing/wait_queue.hpp"
 #include "cornellever/session/connection_memory.hpp"
 #include "cornellever/session/ownership.hpp"
 #include "cornellever/session/planned_stop.hpp"
