--- a/src/cornellever/routing/admission.hpp
+++ b/src/cornellever/routing/admission.hpp
@@ -9,9 +9,9 @@
 /// What a request finds when it arrives and no connection is idle.
 struct load_view {
     /// Requests that will be served before it.
-    std::size_t ahead{0};
+    std::size_t requests_ahead{0};
     /// Statements that this proxy runs at a time at servers that could serve it.
-    std::size_t connections{0};
+    std::size_t concurrency{0};
     /// How long one statement takes there.
     std::chrono::duration<double, std::milli> statement_time{10.0};
 };
@@ -33,7 +33,7 @@
 
 /// How long a request may wait for its turn and still be answered within the
 /// latency that its caller aims at; not positive when it can't be.
-[[nodiscard]] std::chrono::milliseconds patience(const load_view& load, const time_limits& limits);
+[[nodiscard]] std::chrono::milliseconds max_wait(const load_view& load, const time_limits& limits);
 
 /// Decides for a request while servers work. Under more load than they can
 /// take, a long line makes every answer late: requests are admitted as long as
--- a/src/cornellever/routing/backend_link.hpp
+++ b/src/cornellever/routing/backend_link.hpp
@@ -37,10 +37,10 @@
 /// A connection to a backend server. Statements sent together are answered in
 /// order; one exchange at a time. After a failure it is of no further use.
 template <typename T>
-concept backend_link = requires(T link, std::vector<sql::command> batch, std::size_t wanted,
+concept backend_link = requires(T link, std::vector<sql::command> batch, std::size_t reply_index,
                                 boot_clock::time_point until) {
-    /// Sends a batch and waits for the answer to number `wanted` of it.
-    { link.exchange(batch, wanted, until) } -> std::same_as<asio::awaitable<link_reply>>;
+    /// Sends a batch and waits for the answer to number `reply_index` of it.
+    { link.exchange(batch, reply_index, until) } -> std::same_as<asio::awaitable<link_reply>>;
     /// Sends a batch whose answers `await_pending` awaits; false when the connection
     /// was broken before.
     { link.post(batch) } -> std::same_as<bool>;
--- a/src/cornellever/routing/connection_lease.hpp
+++ b/src/cornellever/routing/connection_lease.hpp
@@ -34,7 +34,7 @@
     [[nodiscard]] const backend_server& server() const noexcept { return m_slot->server_entry->server; }
 
     /// Hands the connection back. Answers still owed are awaited first.
-    void release() { m_pool->take_back(*std::exchange(m_slot, nullptr)); }
+    void release() { m_pool->check_in(*std::exchange(m_slot, nullptr)); }
 
     /// Closes the connection, which rolls back what is open on it.
     void drop() {
--- a/src/cornellever/routing/leadership_backoff.hpp
+++ b/src/cornellever/routing/leadership_backoff.hpp
@@ -16,8 +16,8 @@
 
     /// It was taken for the primary, and refused a statement as not being it.
     void note_refusal(time_point now) {
-        const bool again = m_refused_at != time_point{} && now - m_refused_at < forgotten_after;
-        m_pause = again ? std::min(m_pause * 2, longest_pause) : first_pause;
+        const bool again = m_refused_at != time_point{} && now - m_refused_at < forget_after;
+        m_pause = again ? std::min(m_pause * 2, max_pause) : initial_pause;
         m_refused_at = now;
     }
 
@@ -30,12 +30,12 @@
     }
 
 private:
-    static constexpr std::chrono::milliseconds first_pause{40};
-    static constexpr std::chrono::milliseconds longest_pause{640};
-    static constexpr std::chrono::milliseconds forgotten_after{5000};
+    static constexpr std::chrono::milliseconds initial_pause{40};
+    static constexpr std::chrono::milliseconds max_pause{640};
+    static constexpr std::chrono::milliseconds forget_after{5000};
 
     time_point m_refused_at{};
-    std::chrono::milliseconds m_pause{first_pause};
+    std::chrono::milliseconds m_pause{initial_pause};
 };
 
 } // namespace cornellever::routing
--- a/src/cornellever/routing/log_high_water_mark.hpp
+++ b/src/cornellever/routing/log_high_water_mark.hpp
@@ -22,10 +22,10 @@
 
     /// A server that leads named `position`, as is known at `now`.
     void note(const std::string& server, const sql::log_position& position, time_point now) {
-        if (m_server != server || !m_furthest || *m_furthest < position) {
+        if (m_server != server || !m_highest_position || *m_highest_position < position) {
             m_server = server;
-            m_furthest = position;
-            m_known_since = now;
+            m_highest_position = position;
+            m_recorded_at = now;
         }
     }
 
@@ -41,7 +41,7 @@
     void set_primary(const std::string& server) {
         if (m_server != server) {
             m_server = server;
-            m_furthest.reset();
+            m_highest_position.reset();
         }
     }
 
@@ -50,18 +50,18 @@
     /// overtaken names an older position and tells nothing.
     [[nodiscard]] bool is_truncated(std::string_view server, const sql::log_position& position,
                                     time_point asked_at) const {
-        return m_furthest && m_server == server && asked_at > m_known_since && position < *m_furthest;
+        return m_highest_position && m_server == server && asked_at > m_recorded_at && position < *m_highest_position;
     }
 
     /// The furthest position that `server` is known to have named while it led.
     [[nodiscard]] std::optional<sql::log_position> highest_position_of(std::string_view server) const {
-        return m_server == server ? m_furthest : std::nullopt;
+        return m_server == server ? m_highest_position : std::nullopt;
     }
 
 private:
     std::string m_server;
-    std::optional<sql::log_position> m_furthest;
-    time_point m_known_since{};
+    std::optional<sql::log_position> m_highest_position;
+    time_point m_recorded_at{};
 };
 
 } // namespace cornellever::routing
--- a/src/cornellever/routing/placement.cpp
+++ b/src/cornellever/routing/placement.cpp
@@ -6,20 +6,20 @@
 
 /// A round trip to another data centre takes 2.8 ms longer than within one;
 /// the rest stands for the bytes between them, which are paid for.
-constexpr double other_data_center_ms = 5.0;
+constexpr double other_data_center_penalty_ms = 5.0;
 
 /// Reads keep away from the primary, whose slots alone can run writes, until
 /// the replicas are this much slower: about one read's work (9 ms on average).
-constexpr double primary_ms = 8.0;
+constexpr double primary_penalty_ms = 8.0;
 
 /// Bringing over a session's values costs bytes and hardly any time.
-constexpr double replayed_statement_ms = 0.2;
+constexpr double replay_cost_ms = 0.2;
 
 double expected_ms(const placement_candidate& item) {
     double out = item.statement_time.count() * static_cast<double>(1 + item.in_flight);
-    out += item.same_data_center ? 0.0 : other_data_center_ms;
-    out += item.primary ? primary_ms : 0.0;
-    return out + replayed_statement_ms * static_cast<double>(item.replay);
+    out += item.same_data_center ? 0.0 : other_data_center_penalty_ms;
+    out += item.primary ? primary_penalty_ms : 0.0;
+    return out + replay_cost_ms * static_cast<double>(item.replay);
 }
 
 } // namespace
--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -31,14 +31,14 @@
     /// takes all statements on it for that account's; empty for the proxy's own.
     std::string account{};
     /// When it was last handed back.
-    boot_clock::time_point used_at{};
+    boot_clock::time_point returned_at{};
     session::connection_memory memory;
     /// In use by a request, or by the pool's own housekeeping.
     bool busy{false};
     /// Held by a transaction whose caller is between two statements.
     bool idle_in_transaction{false};
     /// A statement runs on it whose answer is awaited.
-    bool awaiting{false};
+    bool awaiting_reply{false};
     /// The answer is late by so much that it is taken to be lost.
     bool overdue{false};
     /// A transaction that the server accepted as its primary is open and
@@ -46,7 +46,7 @@
     /// it needs no other proof of freshness.
     bool primed{false};
     /// When that transaction was opened.
-    boot_clock::time_point armed_at{};
+    boot_clock::time_point primed_at{};
     /// When the statements were sent whose answers are still owed.
     boot_clock::time_point sent_at{};
 };
@@ -54,7 +54,7 @@
 /// How long statements take at a server, as a moving average that goes back to
 /// the ordinary while the server is not used: a server that was slow once is
 /// tried again.
-class typical_time {
+class statement_time_average {
 public:
     void record(boot_clock::time_point now, std::chrono::duration<double, std::milli> took) {
         m_ms = value(now) + weight * (took.count() - value(now));
@@ -63,28 +63,28 @@
 
     [[nodiscard]] double value(boot_clock::time_point now) const {
         const double idle_s = std::chrono::duration<double>(now - m_at).count();
-        return ordinary_ms + (m_ms - ordinary_ms) * std::exp2(-idle_s / half_life_s);
+        return default_ms + (m_ms - default_ms) * std::exp2(-idle_s / half_life_s);
     }
 
 private:
     /// About the mean work of today's statements.
-    static constexpr double ordinary_ms = 10.0;
+    static constexpr double default_ms = 10.0;
     static constexpr double weight = 0.15;
     static constexpr double half_life_s = 1.5;
 
-    double m_ms{ordinary_ms};
+    double m_ms{default_ms};
     boot_clock::time_point m_at{};
 };
 
 /// How late an answer has to be to count as lost, where statements usually take
-/// `typical_ms`. An answer that is lost on its way leaves its connection mute
+/// `statement_time_ms`. An answer that is lost on its way leaves its connection mute
 /// until the statement's own timeout (800 ms for a write, which must not be run
 /// again); were that the only one, everything else would wait as long. One in a
 /// hundred statements takes five times the usual.
-[[nodiscard]] inline std::chrono::milliseconds overdue_after(double typical_ms) {
+[[nodiscard]] inline std::chrono::milliseconds overdue_after(double statement_time_ms) {
     constexpr std::chrono::milliseconds shortest{100};
-    constexpr double times_typical = 4.0;
-    return std::max(shortest, std::chrono::milliseconds{std::llround(times_typical * typical_ms)});
+    constexpr double multiple = 4.0;
+    return std::max(shortest, std::chrono::milliseconds{std::llround(multiple * statement_time_ms)});
 }
 
 /// One backend server, its connections, and what was seen of it.
@@ -101,30 +101,32 @@
     time_point open_after{};
     int failed_opens{0};
     /// When it last refused a connection for having too many.
-    time_point full_at{};
-    typical_time statement_time;
+    time_point limit_reached_at{};
+    statement_time_average statement_time;
     std::size_t in_flight{0};
     /// How far it has applied the log, where it is a replica.
     replica_progress progress;
-    leadership_backoff doubt;
+    leadership_backoff refusal_backoff;
     /// Since when it leads with an empty log while another registered server,
     /// which may hold its commits, has not answered.
-    std::optional<time_point> empty_since;
+    std::optional<time_point> empty_log_since;
     /// The last answer of any kind, and the last sign that nobody answers.
     time_point last_contact_at{};
     time_point refused_at{};
-    time_point silent_at{};
+    time_point timed_out_at{};
     /// No longer registered, or started again; kept until its connections are
     /// handed back.
-    bool gone{false};
+    bool retired{false};
     /// Set where the server started again: a lead that was proved before was
     /// that of its process before.
-    time_point since{};
+    time_point leadership_valid_after{};
     /// When it was first seen to be leaving.
     std::optional<time_point> draining_since;
 
     /// Whether it is not used for that: the other server may still answer.
-    [[nodiscard]] bool awaits_witness(time_point now) const { return empty_since && now - *empty_since < witness_wait; }
+    [[nodiscard]] bool awaits_other_logs(time_point now) const {
+        return empty_log_since && now - *empty_log_since < other_logs_wait;
+    }
 
     /// Connections open or being opened.
     [[nodiscard]] std::size_t held() const noexcept { return open_connections.size() + opening; }
@@ -136,12 +138,12 @@
     }
 
     /// The connection that has been idle for longest among those whose account
-    /// `spares` holds for; null when there is none.
-    template <std::predicate<const std::string&> Spares>
-    [[nodiscard]] pooled_slot<Link>* longest_idle(Spares spares) const {
+    /// `matches` holds for; null when there is none.
+    template <std::predicate<const std::string&> Predicate>
+    [[nodiscard]] pooled_slot<Link>* longest_idle(Predicate matches) const {
         pooled_slot<Link>* out = nullptr;
         for (const auto& item : open_connections) {
-            if (!item->busy && spares(item->account) && (out == nullptr || item->used_at < out->used_at)) {
+            if (!item->busy && matches(item->account) && (out == nullptr || item->returned_at < out->returned_at)) {
                 out = item.get();
             }
         }
@@ -149,7 +151,7 @@
     }
 
     /// Connections of an account that can run a statement, or will.
-    [[nodiscard]] std::size_t useful_of(std::string_view account) const {
+    [[nodiscard]] std::size_t usable_count(std::string_view account) const {
         const auto open = std::ranges::count_if(open_connections, [&](const auto& item) {
             return item->account == account && !item->idle_in_transaction && !item->overdue;
         });
@@ -157,7 +159,7 @@
     }
 
     /// Idle connections of an account.
-    [[nodiscard]] std::size_t idle_of(std::string_view account) const {
+    [[nodiscard]] std::size_t idle_count(std::string_view account) const {
         return static_cast<std::size_t>(std::ranges::count_if(
             open_connections, [&](const auto& item) { return !item->busy && item->account == account; }));
     }
@@ -169,7 +171,7 @@
 
     /// Connections in use, but for those that rest in a transaction and those
     /// whose answer is overdue.
-    [[nodiscard]] std::size_t working() const {
+    [[nodiscard]] std::size_t active_count() const {
         return static_cast<std::size_t>(std::ranges::count_if(open_connections, [](const auto& item) {
             return item->busy && !item->idle_in_transaction && !item->overdue;
         }));
@@ -185,7 +187,7 @@
         const auto limit = overdue_after(statement_time.value(now));
         bool out = false;
         for (auto& item : open_connections) {
-            if (item->awaiting && !item->overdue && now - item->sent_at > limit) {
+            if (item->awaiting_reply && !item->overdue && now - item->sent_at > limit) {
                 item->overdue = true;
                 out = true;
             }
@@ -194,11 +196,11 @@
     }
 
     /// Whether nobody answered since the last answer.
-    [[nodiscard]] bool unreachable() const noexcept { return std::max(refused_at, silent_at) > last_contact_at; }
+    [[nodiscard]] bool unreachable() const noexcept { return std::max(refused_at, timed_out_at) > last_contact_at; }
 
 private:
     /// Longer than most servers take to start again.
-    static constexpr std::chrono::milliseconds witness_wait{5000};
+    static constexpr std::chrono::milliseconds other_logs_wait{5000};
 };
 
 } // namespace cornellever::routing
--- a/src/cornellever/routing/queue_estimate.hpp
+++ b/src/cornellever/routing/queue_estimate.hpp
@@ -11,9 +11,9 @@
 namespace cornellever::routing {
 
 /// A server as requests that wait for it see it.
-struct lane_view {
+struct server_capacity {
     /// Statements that this proxy runs there at a time; 0 without a connection.
-    std::size_t statements{0};
+    std::size_t concurrency{0};
     /// How long one takes, the server's own queue included.
     std::chrono::duration<double, std::milli> statement_time{0};
 };
@@ -22,7 +22,7 @@
 using server_set = std::uint64_t;
 
 /// A request that waits for a connection to one of some servers.
-struct waiting_view {
+struct queued_request {
     server_set servers{0};
     /// It is of no use to it to begin later.
     boot_clock::time_point until{};
@@ -30,15 +30,15 @@
 
 /// How many statements the servers of a set run at a time together, and how
 /// long one takes on average.
-[[nodiscard]] lane_view together(std::span<const lane_view> servers, server_set of);
+[[nodiscard]] server_capacity combined_capacity(std::span<const server_capacity> servers, server_set of);
 
 /// How many of `before` wait for any server of a set.
-[[nodiscard]] std::size_t competing(std::span<const waiting_view> before, server_set of);
+[[nodiscard]] std::size_t count_competing(std::span<const queued_request> before, server_set of);
 
 /// Which requests of a line, in the order of their turns, are not expected to
 /// get theirs in time, from number `first` on.
-[[nodiscard]] std::vector<std::size_t> out_of_time(std::span<const lane_view> servers,
-                                                   std::span<const waiting_view> line, std::size_t first,
-                                                   boot_clock::time_point now);
+[[nodiscard]] std::vector<std::size_t> too_late(std::span<const server_capacity> servers,
+                                                std::span<const queued_request> queue, std::size_t first,
+                                                boot_clock::time_point now);
 
 } // namespace cornellever::routing
--- a/src/cornellever/routing/read_floor.cpp
+++ b/src/cornellever/routing/read_floor.cpp
@@ -11,11 +11,11 @@
 constexpr auto min_spacing = std::chrono::milliseconds{40};
 
 /// Longer than any staleness that routes state today (2.5 s) with room.
-constexpr auto keep_for = std::chrono::seconds{10};
+constexpr auto retention = std::chrono::seconds{10};
 
 /// Replicas apply a commit this long after the primary at the most (the users'
 /// replicas: 20 to 50 ms on average, 300 ms at worst).
-constexpr auto replicas_apply_within = std::chrono::milliseconds{300};
+constexpr auto max_apply_delay = std::chrono::milliseconds{300};
 
 } // namespace
 
@@ -34,16 +34,16 @@
     }
     if (m_samples.empty()) {
         // A proxy that has just started takes the term to be an old one.
-        m_term_began = sample.position.number;
-        m_first_entry = m_term_began;
+        m_term_start = sample.position.number;
+        m_first_entry = m_term_start;
     } else if (m_samples.back().position.term < sample.position.term) {
-        m_term_began = sample.position.number;
+        m_term_start = sample.position.number;
         m_first_entry.reset();
-    } else if (sample.position.number > m_term_began) {
+    } else if (sample.position.number > m_term_start) {
         note_commit(sample.position);
     }
     m_samples.push_back(sample);
-    while (m_samples.front().asked_at < sample.asked_at - keep_for) {
+    while (m_samples.front().asked_at < sample.asked_at - retention) {
         m_samples.pop_front();
     }
 }
@@ -64,12 +64,12 @@
     return found == m_samples.end() ? std::nullopt : std::optional{found->asked_at};
 }
 
-bool read_floor::in_present_term(const sql::log_position& at) const {
+bool read_floor::in_current_term(const sql::log_position& at) const {
     return at.term == m_samples.back().position.term;
 }
 
 bool read_floor::entry_known(const freshness_sample& sample) const {
-    return in_present_term(sample.position) && m_first_entry && sample.position.number >= *m_first_entry;
+    return in_current_term(sample.position) && m_first_entry && sample.position.number >= *m_first_entry;
 }
 
 std::deque<freshness_sample>::const_iterator read_floor::first_known(std::size_t first) const {
@@ -80,7 +80,7 @@
 /// A commit of an older term that the present primary did not have when it was
 /// promoted. Nobody is owed it, and no log will hold it.
 bool read_floor::rolled_back(const sql::log_position& at) const {
-    return at.term < m_samples.back().position.term && at.number > m_term_began;
+    return at.term < m_samples.back().position.term && at.number > m_term_start;
 }
 
 // Any sample that is recent enough will do; the question is which of them logs
@@ -90,21 +90,21 @@
 // primary got them. An older term's position stays good as it is: a log that
 // holds it has all that was acknowledged before. It is left for one of the new
 // term as soon as replicas have that, since it may have been rolled back.
-sql::log_position read_floor::weakest_sufficient(std::size_t oldest, time_point now) const {
+sql::log_position read_floor::lowest_sufficient(std::size_t oldest, time_point now) const {
     const auto& first = m_samples[oldest];
     if (entry_known(first)) {
         return first.position;
     }
     const auto known = first_known(oldest);
-    const bool settled = known != m_samples.end() && known->asked_at <= now - replicas_apply_within;
-    if (!settled && !in_present_term(first.position) && !rolled_back(first.position)) {
+    const bool settled = known != m_samples.end() && known->asked_at <= now - max_apply_delay;
+    if (!settled && !in_current_term(first.position) && !rolled_back(first.position)) {
         return first.position;
     }
     if (known != m_samples.end()) {
         return known->position;
     }
     const auto begin = m_samples.begin() + static_cast<std::ptrdiff_t>(oldest);
-    return std::find_if(begin, m_samples.end(), [&](const auto& sample) { return in_present_term(sample.position); })
+    return std::find_if(begin, m_samples.end(), [&](const auto& sample) { return in_current_term(sample.position); })
         ->position;
 }
 
@@ -115,8 +115,8 @@
     if (oldest == m_samples.end()) {
         return std::nullopt;
     }
-    const auto out = weakest_sufficient(static_cast<std::size_t>(oldest - m_samples.begin()), now);
-    if (!own_commit || in_present_term(out)) {
+    const auto out = lowest_sufficient(static_cast<std::size_t>(oldest - m_samples.begin()), now);
+    if (!own_commit || in_current_term(out)) {
         // An entry of the present term implies all of earlier ones that was kept.
         return own_commit && own_commit->term == out.term ? std::max(out, *own_commit) : out;
     }
--- a/src/cornellever/routing/read_floor.hpp
+++ b/src/cornellever/routing/read_floor.hpp
@@ -47,16 +47,16 @@
     [[nodiscard]] const freshness_sample* newest() const noexcept;
 
 private:
-    [[nodiscard]] bool in_present_term(const sql::log_position& at) const;
+    [[nodiscard]] bool in_current_term(const sql::log_position& at) const;
     [[nodiscard]] bool entry_known(const freshness_sample& sample) const;
     /// The first of the samples from `first` on whose entry is known.
     [[nodiscard]] std::deque<freshness_sample>::const_iterator first_known(std::size_t first) const;
     [[nodiscard]] bool rolled_back(const sql::log_position& at) const;
-    [[nodiscard]] sql::log_position weakest_sufficient(std::size_t oldest, time_point now) const;
+    [[nodiscard]] sql::log_position lowest_sufficient(std::size_t oldest, time_point now) const;
 
     std::deque<freshness_sample> m_samples;
     /// The number of the present term's first sample.
-    std::uint64_t m_term_began{0};
+    std::uint64_t m_term_start{0};
     /// From this number on, entries are known to be of the present term.
     std::optional<std::uint64_t> m_first_entry;
 };
--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -61,8 +61,8 @@
     void set_budget(std::size_t connections, std::size_t proxies, bool owned = true, std::size_t under_load = 0) {
         m_budget = connections;
         m_proxies = proxies;
-        m_owned = owned;
-        m_under_load = std::max(under_load, connections);
+        m_is_owner = owned;
+        m_budget_under_load = std::max(under_load, connections);
     }
 
     /// A configuration came into force. A transaction that was opened before
@@ -71,14 +71,14 @@
     void start_epoch(time_point now) { m_epoch = now; }
 
     /// Whether statements may use the transaction that is open on `held`.
-    [[nodiscard]] bool is_primed(const slot& held) const { return held.primed && held.armed_at >= m_epoch; }
+    [[nodiscard]] bool is_primed(const slot& held) const { return held.primed && held.primed_at >= m_epoch; }
 
     /// Takes the registered servers of the service.
     void update(std::span<const backend_server* const> servers);
 
-    /// A connection for `want`, waiting for one until `want.until`; none when
+    /// A connection for `request`, waiting for one until `request.until`; none when
     /// that passes.
-    asio::awaitable<lease> acquire(connection_request want);
+    asio::awaitable<lease> acquire(connection_request request);
 
     /// Housekeeping, every `housekeeping_period`.
     void tick();
@@ -94,14 +94,14 @@
     /// A server said, or showed by silence, that it can't be used.
     void note_failure(entry& from, link_failure why) {
         if (why == link_failure::silent) {
-            from.silent_at = boot_clock::now();
+            from.timed_out_at = boot_clock::now();
         }
     }
 
     /// An answer of a server named this as its position.
     void note_position(entry& from, const std::optional<sql::log_position>& position) {
         if (position && from.server.id != m_primary) {
-            from.progress.note(*position, boot_clock::now(), m_floor);
+            from.progress.note(*position, boot_clock::now(), m_read_floor);
         }
     }
 
@@ -117,18 +117,18 @@
 
     /// A peer knows that `id` had come to `position` while it led.
     void note_reported_position(const std::string& id, const sql::log_position& position) {
-        m_leader_log.note_reported_position(id, position, boot_clock::now());
+        m_high_water_mark.note_reported_position(id, position, boot_clock::now());
     }
 
     /// A sample of a peer; its time is not later than the truth.
-    void add_sample(const freshness_sample& sample) { m_floor.add(sample); }
+    void add_sample(const freshness_sample& sample) { m_read_floor.add(sample); }
 
-    [[nodiscard]] const read_floor& floor() const noexcept { return m_floor; }
+    [[nodiscard]] const read_floor& floor() const noexcept { return m_read_floor; }
     [[nodiscard]] const std::string& primary() const noexcept { return m_primary; }
     /// Whether the primary has proved its lead to this proxy or to a peer. What
     /// the registry says of one that has just started again may not be so.
-    [[nodiscard]] bool leadership_confirmed() const noexcept { return m_primary_at != time_point{}; }
-    [[nodiscard]] std::size_t waiting() const noexcept { return m_line.size(); }
+    [[nodiscard]] bool leadership_confirmed() const noexcept { return m_leadership_confirmed_at != time_point{}; }
+    [[nodiscard]] std::size_t waiting() const noexcept { return m_wait_queue.size(); }
     [[nodiscard]] const std::map<std::string, std::unique_ptr<entry>, std::less<>>& entries() const noexcept {
         return m_entries;
     }
@@ -138,11 +138,11 @@
 
     /// What a request finds that would wait as long as `limits` allow: servers
     /// that could run it now, and how many stand before it in the line.
-    [[nodiscard]] load_view expected_load(const connection_request& want, const time_limits& limits) const;
+    [[nodiscard]] load_view expected_load(const connection_request& request, const time_limits& limits) const;
 
     /// An answer is awaited on `held`, or no more.
-    void set_awaiting_reply(slot& held, bool awaiting) {
-        held.awaiting = awaiting;
+    void set_awaiting_reply(slot& held, bool awaiting_reply) {
+        held.awaiting_reply = awaiting_reply;
         held.overdue = false;
     }
 
@@ -200,95 +200,96 @@
     friend connection_lease<service_pool>;
 
     struct waiter {
-        connection_request want;
+        connection_request request;
         std::int64_t priority{0};
         time_point until{};
-        time_point joined_at{};
+        time_point enqueued_at{};
         asio::steady_timer timer;
         slot* granted{nullptr};
         /// Its turn will come too late: others went before it meanwhile.
-        bool out_of_time{false};
+        bool too_late{false};
     };
 
     std::set<std::string, std::less<>> retire_all_but(std::span<const backend_server* const> servers);
-    void retire(entry& leaving);
+    void retire(entry& old_entry);
     void close_idle(entry& at);
-    [[nodiscard]] bool suits(const connection_request& want, const entry& at, time_point now) const;
-    [[nodiscard]] slot* grab(const connection_request& want);
-    [[nodiscard]] slot* best_idle(const entry& at, const connection_request& want) const;
-    void grow(const connection_request& want);
-    [[nodiscard]] std::size_t statements_at_once(const entry& at) const {
+    [[nodiscard]] bool eligible(const connection_request& request, const entry& at, time_point now) const;
+    [[nodiscard]] slot* check_out(const connection_request& request);
+    [[nodiscard]] slot* best_idle(const entry& at, const connection_request& request) const;
+    void open_for_request(const connection_request& request);
+    [[nodiscard]] std::size_t max_concurrency(const entry& at) const {
         return statements_per_proxy(at.server.slots, m_proxies);
     }
-    [[nodiscard]] server_set servers_for(const connection_request& want, time_point now) const;
-    [[nodiscard]] std::vector<lane_view> lanes(time_point now) const;
-    [[nodiscard]] std::vector<waiting_view> line_view(time_point now) const;
-    void turn_away_overtaken(const waiter& by);
+    [[nodiscard]] server_set servers_for(const connection_request& request, time_point now) const;
+    [[nodiscard]] std::vector<server_capacity> server_capacities(time_point now) const;
+    [[nodiscard]] std::vector<queued_request> queue_snapshot(time_point now) const;
+    void reject_overtaken(const waiter& by);
     void grant(waiter& next, slot& held);
-    void offer(entry& at);
-    bool serve_one(entry& at, waiter& next);
+    void serve_queue(entry& at);
+    bool try_serve(entry& at, waiter& next);
     void replace_overdue(entry& at, time_point now);
     void note_use() {
         m_used = true;
         m_used_at = boot_clock::now();
     }
-    void give_back_unused(time_point now);
+    void close_unused(time_point now);
     /// Connections of accounts may be more than the budget for a while, but for
     /// a server that is full.
-    [[nodiscard]] std::size_t most_held(const entry& at) const {
-        return m_named && boot_clock::now() - at.full_at >= full_for ? m_under_load : m_budget;
+    [[nodiscard]] std::size_t connection_cap(const entry& at) const {
+        return m_account_traffic && boot_clock::now() - at.limit_reached_at >= limit_reached_for ? m_budget_under_load
+                                                                                                 : m_budget;
     }
     [[nodiscard]] bool has_room(const entry& at) const {
-        return at.held() < most_held(at) + std::min(at.overdue(), m_budget);
+        return at.held() < connection_cap(at) + std::min(at.overdue(), m_budget);
     }
-    void close_unneeded(entry& at, time_point now);
+    void close_surplus(entry& at, time_point now);
     [[nodiscard]] bool may_open(const entry& at, time_point now) const { return now >= at.open_after && has_room(at); }
-    [[nodiscard]] slot* makes_room(const entry& at, const std::string& account, bool urgent) const;
+    [[nodiscard]] slot* eviction_candidate(const entry& at, const std::string& account, bool urgent) const;
     [[nodiscard]] bool may_open_for(const entry& at, const std::string& account, bool urgent, time_point now) const;
-    entry* place_opening(const connection_request& want);
+    entry* choose_server_to_open(const connection_request& request);
     void open_for_account(entry& at, const std::string& account, bool urgent);
     [[nodiscard]] bool has_waited_long(const entry& at, const waiter& item, time_point now) const;
     void note_opened(entry& at, const std::string& account);
     slot& add_slot(entry& at, std::unique_ptr<link> connection, const std::string& account);
-    void learn_lead(slot& held, const sql::reply& from);
-    void note_primary(entry& from, time_point asked_at, const std::optional<sql::log_position>& position);
-    void take_lead(entry& from, time_point leadership_confirmed_at);
-    void note_log_lost(entry& at, const sql::log_position& named);
-    void drop_lead(const std::string& id);
-    [[nodiscard]] bool lacks_log(const entry& at, const sql::log_position& named, time_point asked_at) const;
-    [[nodiscard]] bool needs_witness(entry& at, const sql::log_position& named) const;
+    void evaluate_leadership(slot& held, const sql::reply& from);
+    void note_leadership(entry& from, time_point asked_at, const std::optional<sql::log_position>& position);
+    void adopt_primary(entry& from, time_point leadership_confirmed_at);
+    void note_log_lost(entry& at, const sql::log_position& reported);
+    void drop_primary(const std::string& id);
+    [[nodiscard]] bool lacks_commits(const entry& at, const sql::log_position& reported, time_point asked_at) const;
+    [[nodiscard]] bool needs_other_logs(entry& at, const sql::log_position& reported) const;
     void open_one(entry& at, std::string account = {});
     asio::awaitable<void> open(entry& at, std::string account);
-    void take_back(slot& held);
+    void check_in(slot& held);
     asio::awaitable<void> await_pending(slot& held);
-    asio::awaitable<void> refresh(slot& held);
+    asio::awaitable<void> refresh_leadership(slot& held);
     void make_idle(slot& held);
     void destroy(slot& held);
     void forget_if_empty(entry& at);
-    void seek();
-    asio::awaitable<void> seek_primary();
-    void arm_idle(entry& at);
-    void watch_progress(entry& at, time_point now);
-    asio::awaitable<void> ask_position(slot& held);
+    void start_primary_search();
+    asio::awaitable<void> search_primary();
+    void prime_idle(entry& at);
+    void poll_progress(entry& at, time_point now);
+    asio::awaitable<void> query_position(slot& held);
 
     /// Deadline of statements that take no slot at a server: several round
     /// trips (3 ms) and a good part of what a slow VM needs.
     static constexpr std::chrono::milliseconds control_limit{600};
     static constexpr std::chrono::milliseconds open_limit{900};
-    static constexpr std::chrono::milliseconds first_backoff{60};
-    static constexpr std::chrono::milliseconds longest_backoff{600};
+    static constexpr std::chrono::milliseconds initial_backoff{60};
+    static constexpr std::chrono::milliseconds max_backoff{600};
     /// Without traffic at the primary for so long, its lead and position are
     /// asked for: a read may be 1.5 s old, and a lost primary has to be noticed.
     static constexpr std::chrono::milliseconds refresh_after{200};
-    static constexpr std::chrono::milliseconds seek_period{40};
+    static constexpr std::chrono::milliseconds search_period{40};
     /// Connections being opened to one server at a time for accounts: each holds
     /// one of the server's slots as long as a short statement.
-    static constexpr std::size_t most_openings = 2;
+    static constexpr std::size_t max_openings = 2;
     /// A replica that is further behind than this is asked how far it is, so
     /// that reads return to it without one of them being refused first. Replicas
     /// apply a commit within 50 ms on average.
-    static constexpr std::chrono::milliseconds ordinary_lag{150};
-    static constexpr std::chrono::milliseconds progress_period{100};
+    static constexpr std::chrono::milliseconds normal_lag{150};
+    static constexpr std::chrono::milliseconds progress_poll_period{100};
     /// Connections of a proxy that does not own them are given back after so
     /// long without a request: longer than a transaction rests, and short beside
     /// a partition. After one of 12 s that a third of 195 proxies was behind, those
@@ -296,38 +297,38 @@
     static constexpr std::chrono::milliseconds unused_for{1000};
     /// Beyond the budget, a connection that nobody used for so long is closed: a
     /// few statements' time, in which its account has not come again.
-    static constexpr std::chrono::milliseconds unneeded_after{300};
+    static constexpr std::chrono::milliseconds surplus_after{300};
     /// A server counts the connections of processes that lost power for 3 s. While
     /// it refuses more, taking them beyond the budget keeps those from coming back
     /// that have none.
-    static constexpr std::chrono::milliseconds full_for{3500};
+    static constexpr std::chrono::milliseconds limit_reached_for{3500};
     /// The registry is told 7 s before a server leaves; new work stops well
     /// before, and only the primary gets any at all.
-    static constexpr std::chrono::milliseconds leaving_primary_use{5500};
+    static constexpr std::chrono::milliseconds draining_primary_use{5500};
 
     asio::any_io_executor m_executor;
     Connector& m_connector;
     std::string m_service;
     std::string m_data_center;
     std::size_t m_budget{1};
-    std::size_t m_under_load{1};
+    std::size_t m_budget_under_load{1};
     std::size_t m_proxies{1};
     std::map<std::string, std::unique_ptr<entry>, std::less<>> m_entries;
-    std::vector<std::unique_ptr<entry>> m_leaving;
-    wait_queue<waiter> m_line;
-    read_floor m_floor;
-    log_high_water_mark m_leader_log;
+    std::vector<std::unique_ptr<entry>> m_retired;
+    wait_queue<waiter> m_wait_queue;
+    read_floor m_read_floor;
+    log_high_water_mark m_high_water_mark;
     /// A server that leads without the commits of before; empty when none does.
-    std::string m_without_log;
+    std::string m_log_lost_server;
     std::string m_primary;
-    time_point m_primary_at{};
+    time_point m_leadership_confirmed_at{};
     time_point m_epoch{};
-    bool m_seeking{false};
+    bool m_searching{false};
     bool m_used{false};
     /// Requests of accounts came: connections are opened for one of them each.
-    bool m_named{false};
+    bool m_account_traffic{false};
     time_point m_used_at{};
-    bool m_owned{true};
+    bool m_is_owner{true};
     bool m_path_cut{false};
 };
 
--- a/src/cornellever/routing/service_pool.ipp
+++ b/src/cornellever/routing/service_pool.ipp
@@ -5,15 +5,15 @@
 template <link_connector Connector>
 void service_pool<Connector>::update(std::span<const backend_server* const> servers) {
     const auto now = boot_clock::now();
-    const auto reborn = retire_all_but(servers);
+    const auto restarted = retire_all_but(servers);
     for (const auto* item : servers) {
         auto& at = m_entries[item->id];
         const bool fresh = at == nullptr;
         if (fresh) {
             at = std::make_unique<entry>();
-            at->since = reborn.contains(item->id) ? now : time_point{};
+            at->leadership_valid_after = restarted.contains(item->id) ? now : time_point{};
         }
-        const bool claims_lead = item->role == server_role::primary && (fresh || at->server.role != item->role);
+        const bool claims_primary = item->role == server_role::primary && (fresh || at->server.role != item->role);
         at->server = *item;
         if (item->draining && !at->draining_since) {
             at->draining_since = now;
@@ -21,16 +21,16 @@
             at->draining_since.reset();
         }
         // Beside a primary that lost its log, an older one's row may still be there.
-        const bool doubtful = !m_without_log.empty() || at->awaits_witness(now);
-        if (m_primary.empty() && item->role == server_role::primary && !doubtful) {
+        const bool unconfirmed = !m_log_lost_server.empty() || at->awaits_other_logs(now);
+        if (m_primary.empty() && item->role == server_role::primary && !unconfirmed) {
             m_primary = item->id;
-            m_primary_at = time_point{};
-        } else if (claims_lead && m_primary != item->id && m_used) {
+            m_leadership_confirmed_at = time_point{};
+        } else if (claims_primary && m_primary != item->id && m_used) {
             asio::co_spawn(m_executor, probe(item->id), asio::detached);
         }
     }
     if (m_used && m_primary.empty()) {
-        seek();
+        start_primary_search();
     }
 }
 
@@ -43,12 +43,12 @@
     std::set<std::string, std::less<>> out;
     for (auto at = m_entries.begin(); at != m_entries.end();) {
         const auto found = std::ranges::find_if(servers, [&](const auto* item) { return item->id == at->first; });
-        const bool reborn = found != servers.end() && (*found)->started_after(at->second->server);
-        if (found != servers.end() && !reborn) {
+        const bool restarted = found != servers.end() && (*found)->started_after(at->second->server);
+        if (found != servers.end() && !restarted) {
             ++at;
             continue;
         }
-        if (reborn) {
+        if (restarted) {
             log_event(event::server_reborn, "service=" + m_service + " server=" + at->first +
                                                 " born_ms=" + std::to_string((*found)->started_at_ms) +
                                                 " before_ms=" + std::to_string(at->second->server.started_at_ms));
@@ -57,9 +57,9 @@
         if (at->first == m_primary) {
             m_primary.clear();
         }
-        auto& leaving = *m_leaving.emplace_back(std::move(at->second));
+        auto& old_entry = *m_retired.emplace_back(std::move(at->second));
         at = m_entries.erase(at);
-        retire(leaving);
+        retire(old_entry);
     }
     return out;
 }
@@ -80,16 +80,16 @@
 /// Closes the idle connections of an entry that is used no more; those in use
 /// are closed as they are handed back.
 template <link_connector Connector>
-void service_pool<Connector>::retire(entry& leaving) {
-    leaving.gone = true;
-    close_idle(leaving);
-    forget_if_empty(leaving);
+void service_pool<Connector>::retire(entry& old_entry) {
+    old_entry.retired = true;
+    close_idle(old_entry);
+    forget_if_empty(old_entry);
 }
 
 /// Closes what a proxy that does not own connections no longer needs.
 template <link_connector Connector>
-void service_pool<Connector>::give_back_unused(time_point now) {
-    if (m_owned || !m_used || !m_line.empty() || now - m_used_at < unused_for) {
+void service_pool<Connector>::close_unused(time_point now) {
+    if (m_is_owner || !m_used || !m_wait_queue.empty() || now - m_used_at < unused_for) {
         return;
     }
     for (auto& [id, at] : m_entries) {
@@ -99,31 +99,31 @@
 }
 
 template <link_connector Connector>
-bool service_pool<Connector>::suits(const connection_request& want, const entry& at, time_point now) const {
+bool service_pool<Connector>::eligible(const connection_request& request, const entry& at, time_point now) const {
     const bool primary = at.server.id == m_primary;
-    if (at.gone || (want.primary && !primary)) {
+    if (at.retired || (request.primary && !primary)) {
         return false;
     }
-    if (at.draining_since && (!primary || now - *at.draining_since > leaving_primary_use)) {
+    if (at.draining_since && (!primary || now - *at.draining_since > draining_primary_use)) {
         return false;
     }
-    if (std::ranges::find(want.excluded_servers, at.server.id) != want.excluded_servers.end()) {
+    if (std::ranges::find(request.excluded_servers, at.server.id) != request.excluded_servers.end()) {
         return false;
     }
-    return primary || !want.floor || !at.progress.lacks(*want.floor, now, m_floor);
+    return primary || !request.floor || !at.progress.lacks(*request.floor, now, m_read_floor);
 }
 
 template <link_connector Connector>
 typename service_pool<Connector>::slot* service_pool<Connector>::best_idle(const entry& at,
-                                                                           const connection_request& want) const {
+                                                                           const connection_request& request) const {
     slot* best = nullptr;
     std::size_t best_cost = 0;
     for (auto& item : at.open_connections) {
-        if (item->busy || item->account != want.account) {
+        if (item->busy || item->account != request.account) {
             continue;
         }
-        auto cost = want.session == nullptr ? 0 : 2 * session::replay_cost(*want.session, item->memory);
-        cost += want.primary && !item->primed ? 1 : 0;
+        auto cost = request.session == nullptr ? 0 : 2 * session::replay_cost(*request.session, item->memory);
+        cost += request.primary && !item->primed ? 1 : 0;
         if (best == nullptr || cost < best_cost) {
             best = item.get();
             best_cost = cost;
@@ -133,52 +133,53 @@
 }
 
 template <link_connector Connector>
-typename service_pool<Connector>::slot* service_pool<Connector>::grab(const connection_request& want) {
+typename service_pool<Connector>::slot* service_pool<Connector>::check_out(const connection_request& request) {
     const auto now = boot_clock::now();
     std::vector<placement_candidate> candidates;
     std::vector<entry*> at;
-    bool replica_could = false;
+    bool replica_connected = false;
     for (auto& [id, item] : m_entries) {
-        if (!suits(want, *item, now) || item->working() >= statements_at_once(*item)) {
+        if (!eligible(request, *item, now) || item->active_count() >= max_concurrency(*item)) {
             continue;
         }
         const bool primary = id == m_primary;
-        replica_could = replica_could || (!primary && !item->open_connections.empty());
-        auto* idle = best_idle(*item, want);
+        replica_connected = replica_connected || (!primary && !item->open_connections.empty());
+        auto* idle = best_idle(*item, request);
         candidates.push_back(
             {.same_data_center = item->server.data_center == m_data_center,
              .primary = primary,
              .in_flight = item->in_flight,
-             .idle = item->idle_of(want.account),
+             .idle = item->idle_count(request.account),
              .statement_time = std::chrono::duration<double, std::milli>{item->statement_time.value(now)},
-             .replay =
-                 idle != nullptr && want.session != nullptr ? session::replay_cost(*want.session, idle->memory) : 0});
+             .replay = idle != nullptr && request.session != nullptr
+                           ? session::replay_cost(*request.session, idle->memory)
+                           : 0});
         at.push_back(item.get());
     }
     // An account has hardly more than one connection to a server, and keeping
     // that for its writes would open another one elsewhere for each read.
-    const bool spare_primary = !want.primary && replica_could && m_budget > 1 && want.account.empty();
+    const bool spare_primary = !request.primary && replica_connected && m_budget > 1 && request.account.empty();
     const auto chosen = place_read(candidates, spare_primary);
     if (!chosen) {
         return nullptr;
     }
-    auto* found = best_idle(*at[*chosen], want);
+    auto* found = best_idle(*at[*chosen], request);
     found->busy = true;
     return found;
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::grow(const connection_request& want) {
-    if (m_named) {
-        if (auto* at = place_opening(want); at != nullptr) {
-            open_for_account(*at, want.account, false);
+void service_pool<Connector>::open_for_request(const connection_request& request) {
+    if (m_account_traffic) {
+        if (auto* at = choose_server_to_open(request); at != nullptr) {
+            open_for_account(*at, request.account, false);
         }
         return;
     }
     const auto now = boot_clock::now();
     entry* best = nullptr;
     for (auto& [id, item] : m_entries) {
-        if (!suits(want, *item, now) || !may_open(*item, now)) {
+        if (!eligible(request, *item, now) || !may_open(*item, now)) {
             continue;
         }
         if (best == nullptr || item->held() < best->held()) {
@@ -206,14 +207,14 @@
         if (why == connect_failure::refused) {
             at.refused_at = now;
         } else if (why == connect_failure::silent) {
-            at.silent_at = now;
+            at.timed_out_at = now;
         } else {
             at.last_contact_at = now;
         }
         if (why == connect_failure::too_many_connections) {
-            at.full_at = now;
+            at.limit_reached_at = now;
         }
-        const auto backoff = std::min(first_backoff * (1 << std::min(at.failed_opens, 4)), longest_backoff);
+        const auto backoff = std::min(initial_backoff * (1 << std::min(at.failed_opens, 4)), max_backoff);
         ++at.failed_opens;
         at.open_after = now + backoff;
         log_event(event::connect_failed, "service=" + m_service + " server=" + at.server.id +
@@ -225,8 +226,8 @@
     at.failed_opens = 0;
     at.last_contact_at = now;
     auto& added = add_slot(at, std::move(*opened), account);
-    if (at.server.id == m_primary && !at.gone) {
-        co_await refresh(added);
+    if (at.server.id == m_primary && !at.retired) {
+        co_await refresh_leadership(added);
         co_return;
     }
     make_idle(added);
@@ -245,15 +246,15 @@
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::take_back(slot& held) {
+void service_pool<Connector>::check_in(slot& held) {
     held.idle_in_transaction = false;
     if (!held.connection->usable()) {
         auto& at = *held.server_entry;
         destroy(held);
-        if (!m_named && !m_line.empty() && !at.gone && may_open(at, boot_clock::now())) {
+        if (!m_account_traffic && !m_wait_queue.empty() && !at.retired && may_open(at, boot_clock::now())) {
             open_one(at);
         }
-        offer(at);
+        serve_queue(at);
         forget_if_empty(at);
         return;
     }
@@ -271,14 +272,14 @@
         log_event(event::connection_broken, "service=" + m_service + " server=" + at.server.id +
                                                 " while=settling reason=" + std::string{to_string(last.error())});
         destroy(held);
-        offer(at);
+        serve_queue(at);
         forget_if_empty(at);
         co_return;
     }
     note_reply(at, std::nullopt);
-    learn_lead(held, *last);
-    const bool unproved = last->state == sql::transaction_state::open && !held.primed;
-    if (last->state == sql::transaction_state::failed || unproved) {
+    evaluate_leadership(held, *last);
+    const bool lacks_confirmation = last->state == sql::transaction_state::open && !held.primed;
+    if (last->state == sql::transaction_state::failed || lacks_confirmation) {
         held.connection->close();
     }
     make_idle(held);
@@ -287,15 +288,15 @@
 template <link_connector Connector>
 void service_pool<Connector>::make_idle(slot& held) {
     auto& at = *held.server_entry;
-    if (at.gone || !held.connection->usable() || at.open_connections.size() > most_held(at) + at.overdue()) {
+    if (at.retired || !held.connection->usable() || at.open_connections.size() > connection_cap(at) + at.overdue()) {
         destroy(held);
-        offer(at);
+        serve_queue(at);
         forget_if_empty(at);
         return;
     }
     held.busy = false;
-    held.used_at = boot_clock::now();
-    offer(at);
+    held.returned_at = boot_clock::now();
+    serve_queue(at);
 }
 
 template <link_connector Connector>
@@ -306,8 +307,8 @@
 
 template <link_connector Connector>
 void service_pool<Connector>::forget_if_empty(entry& at) {
-    if (at.gone && at.open_connections.empty() && at.opening == 0) {
-        std::erase_if(m_leaving, [&](const auto& item) { return item.get() == &at; });
+    if (at.retired && at.open_connections.empty() && at.opening == 0) {
+        std::erase_if(m_retired, [&](const auto& item) { return item.get() == &at; });
     }
 }
 
--- a/src/cornellever/routing/service_pool_accounts.ipp
+++ b/src/cornellever/routing/service_pool_accounts.ipp
@@ -6,11 +6,11 @@
 namespace cornellever::routing {
 
 template <link_connector Connector>
-typename service_pool<Connector>::slot* service_pool<Connector>::makes_room(const entry& at, const std::string& account,
-                                                                            bool urgent) const {
+typename service_pool<Connector>::slot*
+service_pool<Connector>::eviction_candidate(const entry& at, const std::string& account, bool urgent) const {
     return at.longest_idle([&](const std::string& other) {
-        return other != account && (urgent || std::ranges::none_of(m_line.items(), [&](const auto* item) {
-                                        return item->want.account == other;
+        return other != account && (urgent || std::ranges::none_of(m_wait_queue.items(), [&](const auto* item) {
+                                        return item->request.account == other;
                                     }));
     });
 }
@@ -20,19 +20,20 @@
                                            time_point now) const {
     // More connections of one account than statements that may run there at a
     // time would only cost others theirs.
-    return now >= at.open_after && at.opening_for.size() < most_openings &&
-           at.useful_of(account) < statements_at_once(at) &&
-           (has_room(at) || makes_room(at, account, urgent) != nullptr);
+    return now >= at.open_after && at.opening_for.size() < max_openings &&
+           at.usable_count(account) < max_concurrency(at) &&
+           (has_room(at) || eviction_candidate(at, account, urgent) != nullptr);
 }
 
 /// The server to which a connection for an account is best opened.
 template <link_connector Connector>
-typename service_pool<Connector>::entry* service_pool<Connector>::place_opening(const connection_request& want) {
+typename service_pool<Connector>::entry*
+service_pool<Connector>::choose_server_to_open(const connection_request& request) {
     const auto now = boot_clock::now();
     std::vector<placement_candidate> candidates;
     std::vector<entry*> at;
     for (auto& [id, item] : m_entries) {
-        if (!suits(want, *item, now) || !may_open_for(*item, want.account, false, now)) {
+        if (!eligible(request, *item, now) || !may_open_for(*item, request.account, false, now)) {
             continue;
         }
         candidates.push_back(
@@ -54,7 +55,7 @@
 template <link_connector Connector>
 void service_pool<Connector>::open_for_account(entry& at, const std::string& account, bool urgent) {
     if (!has_room(at)) {
-        destroy(*makes_room(at, account, urgent));
+        destroy(*eviction_candidate(at, account, urgent));
     }
     at.opening_for.push_back(account);
     open_one(at, account);
@@ -77,26 +78,26 @@
 template <link_connector Connector>
 bool service_pool<Connector>::has_waited_long(const entry& at, const waiter& item, time_point now) const {
     constexpr double statements = 2.0;
-    return std::chrono::duration<double, std::milli>(now - item.joined_at).count() >=
+    return std::chrono::duration<double, std::milli>(now - item.enqueued_at).count() >=
            statements * at.statement_time.value(now);
 }
 
 /// Grants a connection of its account to a waiter; whether one was idle. Where
 /// none is, one is opened for it.
 template <link_connector Connector>
-bool service_pool<Connector>::serve_one(entry& at, waiter& next) {
-    if (auto* idle = best_idle(at, next.want); idle != nullptr) {
+bool service_pool<Connector>::try_serve(entry& at, waiter& next) {
+    if (auto* idle = best_idle(at, next.request); idle != nullptr) {
         grant(next, *idle);
         return true;
     }
     const auto now = boot_clock::now();
-    const auto& account = next.want.account;
+    const auto& account = next.request.account;
     const bool urgent = has_waited_long(at, next, now);
-    const bool under_way = std::ranges::any_of(m_entries, [&](const auto& item) {
+    const bool already_opening = std::ranges::any_of(m_entries, [&](const auto& item) {
         const auto& opening = item.second->opening_for;
-        return std::ranges::find(opening, account) != opening.end() && suits(next.want, *item.second, now);
+        return std::ranges::find(opening, account) != opening.end() && eligible(next.request, *item.second, now);
     });
-    if (m_named && !under_way && may_open_for(at, account, urgent, now)) {
+    if (m_account_traffic && !already_opening && may_open_for(at, account, urgent, now)) {
         open_for_account(at, account, urgent);
     }
     return false;
@@ -104,10 +105,10 @@
 
 /// Gives back what accounts were given beyond the budget.
 template <link_connector Connector>
-void service_pool<Connector>::close_unneeded(entry& at, time_point now) {
+void service_pool<Connector>::close_surplus(entry& at, time_point now) {
     while (at.open_connections.size() > m_budget) {
         auto* item = at.longest_idle([](const std::string&) { return true; });
-        if (item == nullptr || now - item->used_at < unneeded_after) {
+        if (item == nullptr || now - item->returned_at < surplus_after) {
             return;
         }
         destroy(*item);
--- a/src/cornellever/routing/service_pool_primary.ipp
+++ b/src/cornellever/routing/service_pool_primary.ipp
@@ -10,47 +10,47 @@
     if (std::exchange(held.primed, false)) {
         batch.push_back(sql::proxy_command(sql::statement_kind::rollback));
     }
-    const auto wanted = batch.size();
+    const auto reply_index = batch.size();
     batch.push_back(sql::proxy_command(sql::statement_kind::begin));
     held.sent_at = boot_clock::now();
     auto& at = *held.server_entry;
-    auto answer = co_await held.connection->exchange(std::move(batch), wanted, until);
+    auto answer = co_await held.connection->exchange(std::move(batch), reply_index, until);
     if (!answer) {
         note_failure(at, answer.error());
         co_return false;
     }
     note_reply(at, std::nullopt);
-    learn_lead(held, *answer);
+    evaluate_leadership(held, *answer);
     co_return held.primed;
 }
 
 /// Proves the lead anew on a connection that the caller marked busy.
 template <link_connector Connector>
-asio::awaitable<void> service_pool<Connector>::refresh(slot& held) {
+asio::awaitable<void> service_pool<Connector>::refresh_leadership(slot& held) {
     (void)co_await confirm_leadership(held, boot_clock::now() + control_limit);
     make_idle(held);
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::arm_idle(entry& at) {
+void service_pool<Connector>::prime_idle(entry& at) {
     for (auto& item : at.open_connections) {
         if (!item->busy) {
             item->busy = true;
-            asio::co_spawn(m_executor, refresh(*item), asio::detached);
+            asio::co_spawn(m_executor, refresh_leadership(*item), asio::detached);
         }
     }
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::seek() {
-    if (!m_seeking) {
-        m_seeking = true;
-        asio::co_spawn(m_executor, seek_primary(), asio::detached);
+void service_pool<Connector>::start_primary_search() {
+    if (!m_searching) {
+        m_searching = true;
+        asio::co_spawn(m_executor, search_primary(), asio::detached);
     }
 }
 
 template <link_connector Connector>
-asio::awaitable<void> service_pool<Connector>::seek_primary() {
+asio::awaitable<void> service_pool<Connector>::search_primary() {
     while (m_primary.empty()) {
         std::vector<std::string> ids;
         ids.reserve(m_entries.size());
@@ -64,9 +64,9 @@
                 co_await probe(id);
             }
         }
-        co_await sleep_for(seek_period);
+        co_await sleep_for(search_period);
     }
-    m_seeking = false;
+    m_searching = false;
 }
 
 template <link_connector Connector>
@@ -87,7 +87,7 @@
     }
     if (auto* idle = again->second->any_idle(); idle != nullptr) {
         idle->busy = true;
-        co_await refresh(*idle);
+        co_await refresh_leadership(*idle);
     }
 }
 
@@ -120,9 +120,9 @@
         batch.push_back(sql::proxy_command(sql::statement_kind::rollback));
     }
     batch.push_back(std::move(what));
-    const auto wanted = batch.size() - 1;
+    const auto reply_index = batch.size() - 1;
     held->sent_at = boot_clock::now();
-    auto answer = co_await held->connection->exchange(std::move(batch), wanted, until);
+    auto answer = co_await held->connection->exchange(std::move(batch), reply_index, until);
     if (!answer) {
         note_failure(at, answer.error());
     }
@@ -130,7 +130,7 @@
         // This proxy holds no connections to the service's servers.
         held->connection->close();
     }
-    take_back(*held);
+    check_in(*held);
     co_return answer;
 }
 
@@ -155,13 +155,14 @@
         co_return false;
     }
     const auto again = m_entries.find(id);
-    co_return !answer->position || again == m_entries.end() || !lacks_log(*again->second, *answer->position, asked_at);
+    co_return !answer->position || again == m_entries.end() ||
+        !lacks_commits(*again->second, *answer->position, asked_at);
 }
 
 template <link_connector Connector>
 void service_pool<Connector>::tick() {
     const auto now = boot_clock::now();
-    give_back_unused(now);
+    close_unused(now);
     if (!m_used) {
         return;
     }
@@ -169,48 +170,48 @@
         if (at->held() == 0 && now >= at->open_after && !at->draining_since) {
             open_one(*at);
         }
-        watch_progress(*at, now);
+        poll_progress(*at, now);
         replace_overdue(*at, now);
-        if (m_named) {
-            close_unneeded(*at, now);
+        if (m_account_traffic) {
+            close_surplus(*at, now);
         }
-        if (m_named && !m_line.empty()) {
+        if (m_account_traffic && !m_wait_queue.empty()) {
             // An opening that failed is tried again.
-            offer(*at);
+            serve_queue(*at);
         }
     }
     if (m_primary.empty()) {
-        seek();
+        start_primary_search();
         return;
     }
-    auto& leader = *m_entries.at(m_primary);
-    const auto* newest = m_floor.newest();
+    auto& primary_entry = *m_entries.at(m_primary);
+    const auto* newest = m_read_floor.newest();
     const bool stale =
-        now - m_primary_at > refresh_after || newest == nullptr || now - newest->asked_at > refresh_after;
+        now - m_leadership_confirmed_at > refresh_after || newest == nullptr || now - newest->asked_at > refresh_after;
     if (stale) {
-        if (auto* idle = leader.any_idle(); idle != nullptr) {
+        if (auto* idle = primary_entry.any_idle(); idle != nullptr) {
             idle->busy = true;
-            asio::co_spawn(m_executor, refresh(*idle), asio::detached);
+            asio::co_spawn(m_executor, refresh_leadership(*idle), asio::detached);
         }
     }
 }
 
 template <link_connector Connector>
-void service_pool<Connector>::watch_progress(entry& at, time_point now) {
-    if (at.server.id == m_primary || at.progress.lag() < ordinary_lag ||
-        now - at.progress.seen_at() < progress_period) {
+void service_pool<Connector>::poll_progress(entry& at, time_point now) {
+    if (at.server.id == m_primary || at.progress.lag() < normal_lag ||
+        now - at.progress.seen_at() < progress_poll_period) {
         return;
     }
     if (auto* idle = at.any_idle(); idle != nullptr) {
         idle->busy = true;
-        asio::co_spawn(m_executor, ask_position(*idle), asio::detached);
+        asio::co_spawn(m_executor, query_position(*idle), asio::detached);
     }
 }
 
 /// Asks a replica for its position on a connection that the caller marked
 /// busy, by a transaction that runs nothing: it takes no slot there.
 template <link_connector Connector>
-asio::awaitable<void> service_pool<Connector>::ask_position(slot& held) {
+asio::awaitable<void> service_pool<Connector>::query_position(slot& held) {
     std::vector<sql::command> batch;
     batch.push_back(sql::proxy_command(sql::statement_kind::begin_read_only));
     batch.push_back(sql::proxy_command(sql::statement_kind::rollback));
@@ -229,22 +230,22 @@
 primary_observation service_pool<Connector>::observation() const {
     primary_observation out;
     out.id = m_primary;
-    out.leadership_confirmed_at = m_primary_at;
-    out.highest_position = m_leader_log.highest_position_of(m_primary);
+    out.leadership_confirmed_at = m_leadership_confirmed_at;
+    out.highest_position = m_high_water_mark.highest_position_of(m_primary);
     const auto found = m_entries.find(m_primary);
     if (found != m_entries.end()) {
         const auto& at = *found->second;
         out.last_contact_at = at.last_contact_at;
         out.unreachable = at.unreachable();
         out.refused = at.refused_at > at.last_contact_at;
-    } else if (const auto without = m_entries.find(m_without_log); without != m_entries.end()) {
+    } else if (const auto log_lost_entry = m_entries.find(m_log_lost_server); log_lost_entry != m_entries.end()) {
         // It answers, and yet no primary does there.
-        out.id = m_without_log;
-        out.last_contact_at = without->second->since;
+        out.id = m_log_lost_server;
+        out.last_contact_at = log_lost_entry->second->leadership_valid_after;
         out.unreachable = true;
         out.refused = true;
         out.log_lost = true;
-        out.highest_position = m_leader_log.highest_position_of(m_without_log);
+        out.highest_position = m_high_water_mark.highest_position_of(m_log_lost_server);
     }
     return out;
 }
--- a/src/cornellever/routing/service_pool_queue.ipp
+++ b/src/cornellever/routing/service_pool_queue.ipp
@@ -5,26 +5,26 @@
 namespace cornellever::routing {
 
 template <link_connector Connector>
-asio::awaitable<typename service_pool<Connector>::lease> service_pool<Connector>::acquire(connection_request want) {
+asio::awaitable<typename service_pool<Connector>::lease> service_pool<Connector>::acquire(connection_request request) {
     note_use();
-    m_named = m_named || !want.account.empty();
-    if (auto* found = grab(want); found != nullptr) {
+    m_account_traffic = m_account_traffic || !request.account.empty();
+    if (auto* found = check_out(request); found != nullptr) {
         co_return lease{*this, *found};
     }
-    grow(want);
-    if (want.primary && m_primary.empty()) {
-        seek();
+    open_for_request(request);
+    if (request.primary && m_primary.empty()) {
+        start_primary_search();
     }
-    waiter self{want, want.priority, want.until, boot_clock::now(), asio::steady_timer{m_executor}};
-    m_line.join(self);
-    turn_away_overtaken(self);
-    while (self.granted == nullptr && !self.out_of_time && boot_clock::now() < want.until) {
-        self.timer.expires_after(want.until - boot_clock::now());
+    waiter self{request, request.priority, request.until, boot_clock::now(), asio::steady_timer{m_executor}};
+    m_wait_queue.enqueue(self);
+    reject_overtaken(self);
+    while (self.granted == nullptr && !self.too_late && boot_clock::now() < request.until) {
+        self.timer.expires_after(request.until - boot_clock::now());
         boost::system::error_code ignored;
         co_await self.timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
     if (self.granted == nullptr) {
-        m_line.leave(self);
+        m_wait_queue.dequeue(self);
         co_return lease{};
     }
     co_return lease{*this, *self.granted};
@@ -40,17 +40,17 @@
 /// Hands idle connections of a server to those that wait, as far as this
 /// proxy's share of the server goes.
 template <link_connector Connector>
-void service_pool<Connector>::offer(entry& at) {
+void service_pool<Connector>::serve_queue(entry& at) {
     const auto now = boot_clock::now();
-    auto& items = m_line.items();
+    auto& items = m_wait_queue.items();
     for (auto place = items.begin(); place != items.end();) {
-        if (at.gone || at.working() >= statements_at_once(at)) {
+        if (at.retired || at.active_count() >= max_concurrency(at)) {
             return;
         }
         waiter& next = **place;
         ++place;
-        if (suits(next.want, at, now) && serve_one(at, next)) {
-            m_line.leave(next);
+        if (eligible(next.request, at, now) && try_serve(at, next)) {
+            m_wait_queue.dequeue(next);
         }
     }
 }
@@ -66,11 +66,11 @@
     log_event(event::answer_overdue, "service=" + m_service + " server=" + at.server.id +
                                          " overdue=" + std::to_string(at.overdue()) +
                                          " typical_ms=" + std::to_string(std::llround(at.statement_time.value(now))) +
-                                         " waiting=" + std::to_string(m_line.size()));
-    offer(at);
-    const auto wanted =
-        std::ranges::any_of(m_line.items(), [&](const auto* item) { return suits(item->want, at, now); });
-    if (!m_named && wanted && may_open(at, now)) {
+                                         " waiting=" + std::to_string(m_wait_queue.size()));
+    serve_queue(at);
+    const auto needed =
+        std::ranges::any_of(m_wait_queue.items(), [&](const auto* item) { return eligible(item->request, at, now); });
+    if (!m_account_traffic && needed && may_open(at, now)) {
         open_one(at);
     }
 }
@@ -78,16 +78,16 @@
 template <link_connector Connector>
 void service_pool<Connector>::mark_idle_in_transaction(slot& held) {
     held.idle_in_transaction = true;
-    offer(*held.server_entry);
+    serve_queue(*held.server_entry);
 }
 
 /// The servers that could run a request now, by their place in `m_entries`.
 template <link_connector Connector>
-server_set service_pool<Connector>::servers_for(const connection_request& want, time_point now) const {
+server_set service_pool<Connector>::servers_for(const connection_request& request, time_point now) const {
     server_set out = 0;
     std::size_t place = 0;
     for (const auto& [id, at] : m_entries) {
-        if (place < std::numeric_limits<server_set>::digits && suits(want, *at, now)) {
+        if (place < std::numeric_limits<server_set>::digits && eligible(request, *at, now)) {
             out |= server_set{1} << place;
         }
         ++place;
@@ -96,41 +96,42 @@
 }
 
 template <link_connector Connector>
-std::vector<lane_view> service_pool<Connector>::lanes(time_point now) const {
-    std::vector<lane_view> out;
+std::vector<server_capacity> service_pool<Connector>::server_capacities(time_point now) const {
+    std::vector<server_capacity> out;
     out.reserve(m_entries.size());
     for (const auto& [id, at] : m_entries) {
         // Where connections are opened for accounts, any but the first makes
         // room for another within a handshake.
-        const auto connections = m_named && !at->open_connections.empty() ? m_budget : at->open_connections.size();
-        out.push_back({std::min(statements_at_once(*at), connections),
+        const auto connections =
+            m_account_traffic && !at->open_connections.empty() ? m_budget : at->open_connections.size();
+        out.push_back({std::min(max_concurrency(*at), connections),
                        std::chrono::duration<double, std::milli>{at->statement_time.value(now)}});
     }
     return out;
 }
 
 template <link_connector Connector>
-std::vector<waiting_view> service_pool<Connector>::line_view(time_point now) const {
-    std::vector<waiting_view> out;
-    out.reserve(m_line.size());
-    for (const auto* item : m_line.items()) {
-        out.push_back({servers_for(item->want, now), item->until});
+std::vector<queued_request> service_pool<Connector>::queue_snapshot(time_point now) const {
+    std::vector<queued_request> out;
+    out.reserve(m_wait_queue.size());
+    for (const auto* item : m_wait_queue.items()) {
+        out.push_back({servers_for(item->request, now), item->until});
     }
     return out;
 }
 
 template <link_connector Connector>
-load_view service_pool<Connector>::expected_load(const connection_request& want, const time_limits& limits) const {
+load_view service_pool<Connector>::expected_load(const connection_request& request, const time_limits& limits) const {
     const auto now = boot_clock::now();
-    const auto could = servers_for(want, now);
-    const auto usual = together(lanes(now), could);
-    load_view out{.connections = usual.statements, .statement_time = usual.statement_time};
-    if (m_line.empty()) {
+    const auto eligible_servers = servers_for(request, now);
+    const auto capacity = combined_capacity(server_capacities(now), eligible_servers);
+    load_view out{.concurrency = capacity.concurrency, .statement_time = capacity.statement_time};
+    if (m_wait_queue.empty()) {
         return out;
     }
-    const auto line = line_view(now);
-    const auto place = m_line.place_of(want.priority, now + patience(out, limits));
-    out.ahead = competing(std::span{line}.first(place), could);
+    const auto queue = queue_snapshot(now);
+    const auto place = m_wait_queue.queue_position(request.priority, now + max_wait(out, limits));
+    out.requests_ahead = count_competing(std::span{queue}.first(place), eligible_servers);
     return out;
 }
 
@@ -138,22 +139,22 @@
 /// not expected to get theirs in time any more are told so now, while their
 /// callers can still use the time.
 template <link_connector Connector>
-void service_pool<Connector>::turn_away_overtaken(const waiter& by) {
-    const auto& items = m_line.items();
+void service_pool<Connector>::reject_overtaken(const waiter& by) {
+    const auto& items = m_wait_queue.items();
     const auto at = std::ranges::find(items, &by);
     const auto first = static_cast<std::size_t>(std::distance(items.begin(), at)) + 1;
     if (first >= items.size()) {
         return;
     }
     const auto now = boot_clock::now();
-    const auto line = line_view(now);
+    const auto queue = queue_snapshot(now);
     std::vector<waiter*> late;
-    for (const auto place : out_of_time(lanes(now), line, first, now)) {
+    for (const auto place : too_late(server_capacities(now), queue, first, now)) {
         late.push_back(*std::next(items.begin(), static_cast<std::ptrdiff_t>(place)));
     }
     for (auto* item : late) {
-        m_line.leave(*item);
-        item->out_of_time = true;
+        m_wait_queue.dequeue(*item);
+        item->too_late = true;
         item->timer.cancel();
     }
 }
--- a/src/cornellever/routing/wait_queue.hpp
+++ b/src/cornellever/routing/wait_queue.hpp
@@ -17,7 +17,7 @@
 class wait_queue {
 public:
     /// Adds an item, which must stay where it is until removed.
-    void join(T& item) {
+    void enqueue(T& item) {
         auto at = m_items.begin();
         while (at != m_items.end() && !before(item, **at)) {
             ++at;
@@ -25,13 +25,13 @@
         m_items.insert(at, &item);
     }
 
-    void leave(T& item) { m_items.remove(&item); }
+    void dequeue(T& item) { m_items.remove(&item); }
 
-    /// Removes and returns the first item that `suits`; null when none does.
-    template <std::predicate<const T&> Suits>
-    T* take_first(Suits suits) {
+    /// Removes and returns the first item that `eligible`; null when none does.
+    template <std::predicate<const T&> Predicate>
+    T* take_first(Predicate eligible) {
         for (auto at = m_items.begin(); at != m_items.end(); ++at) {
-            if (suits(**at)) {
+            if (eligible(**at)) {
                 T* found = *at;
                 m_items.erase(at);
                 return found;
@@ -44,7 +44,7 @@
     [[nodiscard]] const std::list<T*>& items() const noexcept { return m_items; }
 
     /// How many items would be served before one of this priority and time.
-    [[nodiscard]] std::size_t place_of(std::int64_t priority, boot_clock::time_point until) const {
+    [[nodiscard]] std::size_t queue_position(std::int64_t priority, boot_clock::time_point until) const {
         const auto behind = std::ranges::find_if(m_items, [&](const auto* item) {
             return item->priority != priority ? priority < item->priority : until < item->until;
         });
--- a/tests/unit/fake_link.hpp
+++ b/tests/unit/fake_link.hpp
@@ -18,7 +18,7 @@
 namespace cornellever::test {
 
 /// A statement as a fake server met it.
-struct met_statement {
+struct received_statement {
     int connection{0};
     /// Counts the batches of the connection: statements of one batch were sent
     /// without waiting for an answer.
@@ -49,14 +49,14 @@
     /// So many callers' statements are refused.
     int refuse{0};
     sql::refusal refuse_with{sql::refusal::overloaded};
-    std::vector<met_statement> received_statements{};
+    std::vector<received_statement> received_statements{};
     int connections{0};
     /// Connections open now, and the most there were since a test set it back.
     int open{0};
     int most_open{0};
 
-    [[nodiscard]] std::vector<met_statement> of(const std::string& id) const {
-        std::vector<met_statement> out;
+    [[nodiscard]] std::vector<received_statement> of(const std::string& id) const {
+        std::vector<received_statement> out;
         std::ranges::copy_if(received_statements, std::back_inserter(out),
                              [&](const auto& item) { return item.id == id; });
         return out;
@@ -80,20 +80,20 @@
     fake_link& operator=(const fake_link&) = delete;
     ~fake_link() { close(); }
 
-    asio::awaitable<routing::link_reply> exchange(const std::vector<sql::command>& batch, std::size_t wanted,
+    asio::awaitable<routing::link_reply> exchange(const std::vector<sql::command>& batch, std::size_t reply_index,
                                                   boot_clock::time_point until) {
         if (!post(batch)) {
             co_return std::unexpected{routing::link_failure::not_sent};
         }
-        for (std::size_t i = 0; i <= wanted; ++i) {
-            if (m_owed.empty() || m_server.silent || m_lost) {
+        for (std::size_t i = 0; i <= reply_index; ++i) {
+            if (m_pending.empty() || m_server.silent || m_lost) {
                 co_await sleep_for(std::chrono::milliseconds{
                     std::min<long long>(to_ms(until - boot_clock::now()), m_server.silent_for.count())});
                 close();
                 co_return std::unexpected{routing::link_failure::silent};
             }
-            m_last = m_owed.front();
-            m_owed.erase(m_owed.begin());
+            m_last = m_pending.front();
+            m_pending.erase(m_pending.begin());
         }
         co_return m_last;
     }
@@ -118,8 +118,8 @@
             close();
             co_return std::unexpected{routing::link_failure::silent};
         }
-        auto last = m_owed.empty() ? sql::reply{} : m_owed.back();
-        m_owed.clear();
+        auto last = m_pending.empty() ? sql::reply{} : m_pending.back();
+        m_pending.clear();
         co_return last;
     }
 
@@ -130,7 +130,7 @@
     void run(const sql::command& what) {
         m_server.received_statements.push_back({m_number, m_batch, what.request_id, what.what.kind, what.what.text,
                                                 m_state == sql::transaction_state::open, m_account, m_values});
-        m_owed.push_back(answer(what));
+        m_pending.push_back(answer(what));
         if (!what.request_id.empty() && m_server.lose_answers > 0) {
             --m_server.lose_answers;
             m_lost = true;
@@ -158,10 +158,10 @@
         if (what.after && m_server.position < *what.after) {
             return refuse(sql::refusal::behind);
         }
-        const bool lost_lead = m_plain && !m_server.is_primary;
+        const bool lost_leadership = m_read_write && !m_server.is_primary;
         if (kind == statement_kind::rollback) {
             m_state = sql::transaction_state::idle;
-            m_plain = false;
+            m_read_write = false;
         } else if (m_state == sql::transaction_state::failed) {
             return refuse(sql::refusal::malformed);
         } else if (kind == statement_kind::begin) {
@@ -169,18 +169,18 @@
                 return refuse(sql::refusal::not_primary);
             }
             m_state = sql::transaction_state::open;
-            m_plain = true;
+            m_read_write = true;
         } else if (kind == statement_kind::begin_read_only) {
             m_state = sql::transaction_state::open;
         } else if (kind == statement_kind::set) {
             m_values.insert_or_assign(what.what.name, what.what.text);
         } else if (kind == statement_kind::reset) {
             m_values.clear();
-        } else if (lost_lead || (kind == statement_kind::write && !m_server.is_primary)) {
+        } else if (lost_leadership || (kind == statement_kind::write && !m_server.is_primary)) {
             return refuse(sql::refusal::not_primary);
         } else if (kind == statement_kind::commit) {
             m_state = sql::transaction_state::idle;
-            m_plain = false;
+            m_read_write = false;
             ++m_server.position.number;
         } else if (kind == statement_kind::write && m_state == sql::transaction_state::idle) {
             ++m_server.position.number;
@@ -201,11 +201,11 @@
     int m_number;
     std::string m_account;
     int m_batch{0};
-    std::vector<sql::reply> m_owed;
+    std::vector<sql::reply> m_pending;
     sql::reply m_last;
     sql::transaction_state m_state{sql::transaction_state::idle};
     std::map<std::string, std::string, std::less<>> m_values;
-    bool m_plain{false};
+    bool m_read_write{false};
     bool m_usable{true};
     bool m_lost{false};
 };
@@ -229,7 +229,7 @@
     explicit fake_relay(fake_owner& owner) : m_owner{owner} {}
 
     asio::awaitable<routing::link_reply> ask(const sql::request& request, boot_clock::time_point) {
-        for (; m_owed > 0; --m_owed) {
+        for (; m_pending > 0; --m_pending) {
             if (m_owner.answers-- <= 0 || m_owner.refuses_forwarded) {
                 m_open = false;
                 co_return std::unexpected{routing::link_failure::not_sent};
@@ -250,7 +250,7 @@
     bool pass_on(const sql::request& request) {
         m_owner.asked.push_back(request.id);
         m_state = request.what.kind == sql::statement_kind::begin ? sql::transaction_state::open : m_state;
-        ++m_owed;
+        ++m_pending;
         return m_open;
     }
     [[nodiscard]] bool open() const { return m_open; }
@@ -258,7 +258,7 @@
 
 private:
     fake_owner& m_owner;
-    int m_owed{0};
+    int m_pending{0};
     sql::transaction_state m_state{sql::transaction_state::idle};
     bool m_open{true};
 };
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -26,7 +26,7 @@
             .statement_time = std::chrono::duration<double, std::milli>{typical_ms}};
 }
 
-std::vector<session::proxy_place> many_places(int count) {
+std::vector<session::proxy_place> make_proxies(int count) {
     std::vector<session::proxy_place> out;
     for (int i = 0; i < count; ++i) {
         out.push_back({"proxy-" + std::to_string(i), i % 2 == 0 ? "here" : "there", {}});
@@ -34,7 +34,7 @@
     return out;
 }
 
-struct waiting {
+struct queued {
     int priority{0};
     boot_clock::time_point until{};
 };
@@ -86,13 +86,13 @@
         for (std::size_t proxies = 1; proxies <= limit / 2; ++proxies) {
             BOOST_TEST(2 * proxies * routing::connections_per_proxy(limit, proxies) <= limit);
         }
-        const auto many = session::share_connections("stock", limit, many_places(88));
+        const auto many = session::share_connections("stock", limit, make_proxies(88));
         BOOST_TEST(2 * many.owners.size() * many.connections_each <= limit);
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_request_whose_turn_comes_too_late_is_refused_at_once) {
-    const routing::load_view load{.ahead = 60, .connections = 2, .statement_time = 10ms};
+    const routing::load_view load{.requests_ahead = 60, .concurrency = 2, .statement_time = 10ms};
     const auto refused = routing::admit(load, {.left = 800ms, .target = 200ms});
     BOOST_TEST(!refused.admitted);
     BOOST_TEST((refused.retry_after >= 100ms));
@@ -116,60 +116,61 @@
 // as the timeout allows, those who got their turn were begun at an age of
 // 750 ms and more, and none was answered in time.
 BOOST_AUTO_TEST_CASE(under_three_times_the_load_those_who_are_served_are_served_in_time) {
-    constexpr int step_ms = 30;
-    constexpr int lanes = 2;
-    std::vector<int> free_at(lanes, 0);
-    std::deque<int> line;
-    int in_aim = 0;
+    constexpr int statement_ms = 30;
+    constexpr int connection_count = 2;
+    std::vector<int> free_at(connection_count, 0);
+    std::deque<int> queue;
+    int within_target = 0;
     int late = 0;
     int refused_early = 0;
     for (int now = 0; now < 3000; ++now) {
-        for (auto& lane : free_at) {
-            if (lane <= now && !line.empty()) {
-                const int age = now - line.front() + step_ms;
-                ++(age <= 200 ? in_aim : late);
-                line.pop_front();
-                lane = now + step_ms;
+        for (auto& connection : free_at) {
+            if (connection <= now && !queue.empty()) {
+                const int age = now - queue.front() + statement_ms;
+                ++(age <= 200 ? within_target : late);
+                queue.pop_front();
+                connection = now + statement_ms;
             }
         }
         if (now % 7 == 0) {
-            const routing::load_view load{.ahead = line.size(), .connections = lanes, .statement_time = 30ms};
+            const routing::load_view load{
+                .requests_ahead = queue.size(), .concurrency = connection_count, .statement_time = 30ms};
             if (routing::admit(load, {.left = 800ms, .target = 200ms}).admitted) {
-                line.push_back(now);
+                queue.push_back(now);
             } else {
                 ++refused_early;
             }
         }
     }
-    const int could_be_served = 3000 / step_ms * lanes;
-    BOOST_TEST(in_aim + late >= could_be_served - 20);
-    BOOST_TEST(in_aim >= could_be_served * 8 / 10, in_aim << " in aim, " << late << " late");
+    const int could_be_served = 3000 / statement_ms * connection_count;
+    BOOST_TEST(within_target + late >= could_be_served - 20);
+    BOOST_TEST(within_target >= could_be_served * 8 / 10, within_target << " in aim, " << late << " late");
     BOOST_TEST(refused_early > 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_got_its_turn_too_late_is_not_begun) {
-    const routing::load_view load{.ahead = 0, .connections = 2, .statement_time = 30ms};
+    const routing::load_view load{.requests_ahead = 0, .concurrency = 2, .statement_time = 30ms};
     BOOST_TEST(!routing::has_time_to_run(load, 20ms));
     BOOST_TEST(routing::has_time_to_run(load, 50ms));
 }
 
 BOOST_AUTO_TEST_CASE(the_line_is_served_by_priority_and_then_by_time_left) {
     const boot_clock::time_point start{};
-    waiting late{2, start + 9s};
-    waiting soon{2, start + 1s};
-    waiting first{1, start + 20s};
-    routing::wait_queue<waiting> line;
-    line.join(late);
-    line.join(soon);
-    line.join(first);
-    BOOST_TEST(line.place_of(1, start + 30s) == 1U);
-    BOOST_TEST(line.place_of(2, start + 2s) == 2U);
-    BOOST_TEST(line.place_of(2, start + 30s) == 3U);
-    const auto any = [](const waiting&) { return true; };
-    BOOST_TEST(line.take_first(any) == &first);
-    BOOST_TEST(line.take_first([&](const waiting& item) { return &item == &late; }) == &late);
-    BOOST_TEST(line.take_first(any) == &soon);
-    BOOST_TEST(line.take_first(any) == nullptr);
+    queued late{2, start + 9s};
+    queued soon{2, start + 1s};
+    queued first{1, start + 20s};
+    routing::wait_queue<queued> queue;
+    queue.enqueue(late);
+    queue.enqueue(soon);
+    queue.enqueue(first);
+    BOOST_TEST(queue.queue_position(1, start + 30s) == 1U);
+    BOOST_TEST(queue.queue_position(2, start + 2s) == 2U);
+    BOOST_TEST(queue.queue_position(2, start + 30s) == 3U);
+    const auto any = [](const queued&) { return true; };
+    BOOST_TEST(queue.take_first(any) == &first);
+    BOOST_TEST(queue.take_first([&](const queued& item) { return &item == &late; }) == &late);
+    BOOST_TEST(queue.take_first(any) == &soon);
+    BOOST_TEST(queue.take_first(any) == nullptr);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
