--- a/src/cornellever/routing/admission.cpp
+++ b/src/cornellever/routing/admission.cpp
@@ -6,18 +6,20 @@
 
 namespace {
 
-/// The soonest that asking again makes sense: a few statements' time.
+/// Lower bound of the retry delay: the time of a few statements.
 constexpr std::chrono::milliseconds min_retry_after{30};
 
-/// Left to run a statement once the new primary leads: its slots are taken by
-/// all that waited.
+/// Time reserved for running a statement after a failover: the new primary's
+/// execution slots are contended by all requests that waited for it.
 constexpr std::chrono::milliseconds run_reserve_after_promotion{100};
 
-/// A promotion takes 1.2 s from the order; half of it on average.
+/// A promotion takes 1.2 s from the request to it; on average half of that is
+/// left when a request arrives.
 constexpr std::chrono::milliseconds retry_after_without_primary{300};
 
-/// Kept for running the statement, in times that the usual one takes: three
-/// of four take no longer. What servers' own queues add is in the usual time.
+/// Time reserved for running the statement, as a multiple of the average
+/// statement time: three of four statements take no longer. The average
+/// includes the time spent in the servers' own queues.
 constexpr double run_reserve = 1.5;
 
 std::chrono::milliseconds in_ms(std::chrono::duration<double, std::milli> span) {
--- a/src/cornellever/routing/admission.hpp
+++ b/src/cornellever/routing/admission.hpp
@@ -6,49 +6,50 @@
 
 namespace cornellever::routing {
 
-/// What a request finds when it arrives and no connection is idle.
+/// The load on the servers that are eligible for a request.
 struct load_view {
-    /// Requests that will be served before it.
+    /// Queued requests that are served before it.
     std::size_t requests_ahead{0};
-    /// Statements that this proxy runs at a time at servers that could serve it.
+    /// Statements that this proxy runs concurrently on the eligible servers.
     std::size_t concurrency{0};
-    /// How long one statement takes there.
+    /// Average time of one statement there.
     std::chrono::duration<double, std::milli> statement_time{10.0};
 };
 
-/// What bounds a request's wait.
+/// The time limits of a request.
 struct time_limits {
-    /// Until its statement's timeout.
+    /// Time left until the statement times out.
     std::chrono::milliseconds left{0};
-    /// What its caller aims at for the whole operation.
+    /// Target latency of the whole operation.
     std::chrono::milliseconds target{0};
 };
 
-/// How long a request may wait for a connection, or when it should come back.
+/// Whether a request may wait for a connection and for how long, or when its
+/// caller should retry.
 struct admission_decision {
     bool admitted{false};
     std::chrono::milliseconds wait{0};
     std::chrono::milliseconds retry_after{0};
 };
 
-/// How long a request may wait for its turn and still be answered within the
-/// latency that its caller aims at; not positive when it can't be.
+/// The longest wait in the queue after which a request can still be answered
+/// within its target latency; zero or negative when it can't.
 [[nodiscard]] std::chrono::milliseconds max_wait(const load_view& load, const time_limits& limits);
 
-/// Decides for a request while servers work. Under more load than they can
-/// take, a long line makes every answer late: requests are admitted as long as
-/// their turn is likely to come within the latency that their callers aim at,
-/// and refused at once otherwise, so that the caller can use the time left.
+/// Admission control while servers are available. Under overload a long queue
+/// makes every answer late, so a request is admitted only if it is expected to
+/// be served within its target latency. Otherwise it is refused at once, so
+/// that the caller can use the remaining time.
 [[nodiscard]] admission_decision admit(const load_view& load, const time_limits& limits);
 
-/// Decides for a request that needs the primary while a service has none.
-/// Another one leads soon, and the request may wait for it as long as there is
-/// time to run it afterwards.
+/// Admission control for a request that needs the primary while the service has
+/// none. A failover is expected soon, so the request may wait as long as there
+/// is time left to run it afterwards.
 [[nodiscard]] admission_decision admit_without_primary(const time_limits& limits);
 
-/// Whether a request that got its turn still has the time to run: one that is
-/// begun too late ends by its timeout, its answer is thrown away and its
-/// connection with it.
+/// Whether a request that has been given a connection still has time to run. A
+/// statement that is started too late times out, which discards its answer and
+/// its connection.
 [[nodiscard]] bool has_time_to_run(const load_view& load, std::chrono::milliseconds left);
 
 } // namespace cornellever::routing
--- a/src/cornellever/routing/backend_link.hpp
+++ b/src/cornellever/routing/backend_link.hpp
@@ -19,32 +19,33 @@
 
 /// How an exchange on a connection ended without an answer.
 enum class link_failure {
-    /// The connection was broken before: the server has seen nothing of it.
+    /// The connection was already broken: nothing reached the server.
     not_sent,
-    /// The connection broke, or an answer was incomplete or not the expected
-    /// one, after the statements were handed to it.
+    /// After the statements were written, the connection broke or an answer was
+    /// incomplete or unexpected.
     broken,
-    /// No answer within the time given; the connection may be silent for good.
+    /// No answer before the deadline; the connection may never answer again.
     silent,
 };
 
 /// Why a connection could not be opened.
 enum class connect_failure { refused, silent, wrong_server, too_many_connections, failed };
 
-/// An answer, or how it failed to come.
+/// An answer, or why there is none.
 using link_reply = std::expected<sql::reply, link_failure>;
 
-/// A connection to a backend server. Statements sent together are answered in
-/// order; one exchange at a time. After a failure it is of no further use.
+/// A connection to a backend server. The statements of a batch are pipelined and
+/// answered in order; only one exchange may be in progress. After a failure the
+/// connection is unusable.
 template <typename T>
 concept backend_link = requires(T link, std::vector<sql::command> batch, std::size_t reply_index,
                                 boot_clock::time_point until) {
-    /// Sends a batch and waits for the answer to number `reply_index` of it.
+    /// Sends a batch and waits for the answer to its statement at `reply_index`.
     { link.exchange(batch, reply_index, until) } -> std::same_as<asio::awaitable<link_reply>>;
-    /// Sends a batch whose answers `await_pending` awaits; false when the connection
-    /// was broken before.
+    /// Sends a batch whose answers are read by `await_pending`; false when the
+    /// connection was already broken.
     { link.post(batch) } -> std::same_as<bool>;
-    /// Waits for the answers still owed; yields the last of them.
+    /// Reads all pending answers and returns the last of them.
     { link.await_pending(until) } -> std::same_as<asio::awaitable<link_reply>>;
     { link.usable() } -> std::same_as<bool>;
     {link.close()};
@@ -56,12 +57,12 @@
                                   boot_clock::time_point until) {
     typename T::link;
     requires backend_link<typename T::link>;
-    /// The server is told the account whose statements will come; an empty one
-    /// is the proxy itself.
+    /// Opens a connection on behalf of `account`; an empty account stands for
+    /// the proxy itself.
     {
         connector.open(server, account, until)
         } -> std::same_as<asio::awaitable<std::expected<std::unique_ptr<typename T::link>, connect_failure>>>;
-    /// What an answer to `statement_kind::status` says; nothing for a refusal.
+    /// Decodes the answer to `statement_kind::status`; nothing for an error.
     { T::status_of(sql::reply{}) } -> std::same_as<std::optional<sql::server_status>>;
 };
 
--- a/src/cornellever/routing/connection_lease.hpp
+++ b/src/cornellever/routing/connection_lease.hpp
@@ -6,8 +6,8 @@
 
 namespace cornellever::routing {
 
-/// A connection that a pool handed out, or none; closed on destruction unless
-/// it was released.
+/// RAII handle of a connection checked out of a pool; may be empty. Closes the
+/// connection on destruction unless it was released.
 template <typename Pool>
 class connection_lease {
 public:
@@ -33,10 +33,10 @@
     slot& operator*() const noexcept { return *m_slot; }
     [[nodiscard]] const backend_server& server() const noexcept { return m_slot->server_entry->server; }
 
-    /// Hands the connection back. Answers still owed are awaited first.
+    /// Returns the connection to the pool, which reads pending answers first.
     void release() { m_pool->check_in(*std::exchange(m_slot, nullptr)); }
 
-    /// Closes the connection, which rolls back what is open on it.
+    /// Closes the connection, which rolls back its open transaction.
     void drop() {
         if (m_slot != nullptr) {
             m_slot->connection->close();
--- a/src/cornellever/routing/connection_request.hpp
+++ b/src/cornellever/routing/connection_request.hpp
@@ -11,37 +11,40 @@
 
 namespace cornellever::routing {
 
-/// What a request needs of a connection.
+/// The requirements of a request on the connection that it runs on.
 struct connection_request {
-    /// Only the primary will do.
+    /// Only the primary is eligible.
     bool primary{false};
-    /// The position that another server's log needs to have.
+    /// The log position that a replica must have applied (see `read_floor`).
     std::optional<sql::log_position> floor{};
     const session::session_state* session{nullptr};
-    /// For whom the connection has to have been opened.
+    /// The account that the connection must have been opened for; empty for a
+    /// connection of the proxy's own.
     std::string account{};
-    /// The request's, and among equal ones its account's: see `priority_of`.
+    /// Priority in the wait queue: see `priority_of`.
     std::int64_t priority{0};
+    /// Deadline of the wait.
     boot_clock::time_point until{};
-    /// Servers that failed this request before.
+    /// Servers on which this request failed before.
     std::vector<std::string> excluded_servers{};
-    /// The server that was taken for the primary and refused this request as
-    /// not being it.
+    /// The presumed primary that refused this request with `not_primary`.
     std::string refused_by{};
 };
 
-/// What a proxy has seen of a service's primary.
+/// What this proxy knows about a service's primary from its own connections.
 struct primary_observation {
     std::string id;
-    /// When it last proved its lead to this proxy.
+    /// When its last leadership confirmation was requested.
     boot_clock::time_point leadership_confirmed_at{};
+    /// The last answer of any kind.
     boot_clock::time_point last_contact_at{};
-    /// Nobody has answered at its address since `last_contact_at`.
+    /// Nothing has answered at its address since `last_contact_at`.
     bool unreachable{false};
+    /// Its address refused a connection since then.
     bool refused{false};
-    /// It answers and leads, without the commits that it had.
+    /// It answers as the primary but has lost commits.
     bool log_lost{false};
-    /// The furthest position that it is known to have named while it led.
+    /// The highest log position that it is known to have reported as the primary.
     std::optional<sql::log_position> highest_position{};
 };
 
--- a/src/cornellever/routing/leadership_backoff.hpp
+++ b/src/cornellever/routing/leadership_backoff.hpp
@@ -7,24 +7,27 @@
 
 namespace cornellever::routing {
 
-/// Doubts about a server's lead. One that accepts transactions as the primary
-/// and refuses their writes would otherwise be taken for the primary again as
-/// soon as it refused, by each proxy and for each waiting statement.
+/// Backoff before a server's leadership confirmations count again after it
+/// refused a statement with `not_primary`. Without it, a server that opens
+/// transactions as the primary but refuses writes would be adopted as the
+/// primary again right after each refusal, by every proxy and for every waiting
+/// statement.
 class leadership_backoff {
 public:
     using time_point = boot_clock::time_point;
 
-    /// It was taken for the primary, and refused a statement as not being it.
+    /// The server refused a statement with `not_primary` while it was considered
+    /// the primary. Repeated refusals double the pause.
     void note_refusal(time_point now) {
         const bool again = m_refused_at != time_point{} && now - m_refused_at < forget_after;
         m_pause = again ? std::min(m_pause * 2, max_pause) : initial_pause;
         m_refused_at = now;
     }
 
-    /// It acknowledged a commit.
+    /// The server acknowledged a commit: ends the backoff.
     void clear() { m_refused_at = {}; }
 
-    /// Whether a proof of its lead that was asked for at `asked_at` counts.
+    /// Whether a leadership confirmation requested at `asked_at` counts.
     [[nodiscard]] bool accepts_confirmation(time_point asked_at) const {
         return m_refused_at == time_point{} || asked_at >= m_refused_at + m_pause;
     }
--- a/src/cornellever/routing/log_high_water_mark.hpp
+++ b/src/cornellever/routing/log_high_water_mark.hpp
@@ -9,18 +9,17 @@
 
 namespace cornellever::routing {
 
-/// How far the log of the last server was that proved its lead, to this proxy
-/// or to another that told of it, so that a primary shows which started again
-/// with an empty log: it may still be taken for the leader, and would show
-/// callers a database without their commits. While a server leads, its log gets
-/// no shorter. Positions of different servers are not compared: one that was
-/// promoted may lack commits, which are rolled back then and which nobody is
-/// owed.
+/// The highest log position of the last primary that was confirmed by this proxy
+/// or reported by a peer. It detects a primary that restarted with an empty log:
+/// such a server may still confirm its leadership, and callers would see a
+/// database without their commits. A primary's log never gets shorter. Positions
+/// of different servers are not compared: a promoted server may lack commits of
+/// its predecessor, which are then rolled back and no longer promised to anyone.
 class log_high_water_mark {
 public:
     using time_point = boot_clock::time_point;
 
-    /// A server that leads named `position`, as is known at `now`.
+    /// Records that the primary `server` reported `position`, received at `now`.
     void note(const std::string& server, const sql::log_position& position, time_point now) {
         if (m_server != server || !m_highest_position || *m_highest_position < position) {
             m_server = server;
@@ -29,15 +28,16 @@
         }
     }
 
-    /// Another proxy knows that `server` had come to `position` while it led. It
-    /// may not have noticed yet that another server leads now.
+    /// Records a position that a peer reports for `server` as the primary.
+    /// Ignored for a server other than the recorded one: the peer may not have
+    /// noticed a failover yet.
     void note_reported_position(const std::string& server, const sql::log_position& position, time_point now) {
         if (m_server.empty() || m_server == server) {
             note(server, position, now);
         }
     }
 
-    /// `server` leads, wherever its log is: what another had named counts no more.
+    /// `server` is the primary now: drops the position of any other server.
     void set_primary(const std::string& server) {
         if (m_server != server) {
             m_server = server;
@@ -45,15 +45,16 @@
         }
     }
 
-    /// Whether `position`, named by a server that was asked at `asked_at`, lacks
-    /// what it held itself before that. An answer that another one has
-    /// overtaken names an older position and tells nothing.
+    /// Whether `position`, reported by a server in answer to a request sent at
+    /// `asked_at`, is below the position that it reported before. Always false
+    /// for an answer that was overtaken by a later one, since its position is
+    /// legitimately older.
     [[nodiscard]] bool is_truncated(std::string_view server, const sql::log_position& position,
                                     time_point asked_at) const {
         return m_highest_position && m_server == server && asked_at > m_recorded_at && position < *m_highest_position;
     }
 
-    /// The furthest position that `server` is known to have named while it led.
+    /// The highest position that `server` is known to have reported as the primary.
     [[nodiscard]] std::optional<sql::log_position> highest_position_of(std::string_view server) const {
         return m_server == server ? m_highest_position : std::nullopt;
     }
