--- a/src/cornellever/routing/model.hpp
+++ b/src/cornellever/routing/model.hpp
@@ -13,15 +13,15 @@
 
 namespace cornellever::routing {
 
-/// How fresh a database's reads have to be.
+/// The read consistency of a database.
 enum class consistency { primary, bounded_staleness, read_your_writes };
 
 /// Priorities go from 0, which is served first, to this.
 inline constexpr int lowest_priority = 1'000'000;
 
-/// The place of a request in a line: by its database's priority, and among equal
-/// ones by its account's. What callers ask for urgently is not put behind what a
-/// more important account does in passing.
+/// The wait queue priority of a request: its database's priority, then its
+/// account's. The database comes first, so that an urgent request isn't delayed
+/// by a background request of a more important account.
 [[nodiscard]] constexpr std::int64_t priority_of(int request, int account) noexcept {
     return std::int64_t{request} * (std::int64_t{lowest_priority} + 1) + account;
 }
@@ -31,55 +31,58 @@
     std::string database;
     std::string service;
     consistency reads{consistency::primary};
-    /// Bound of one statement.
+    /// Timeout of one statement.
     std::chrono::milliseconds statement_timeout{0};
-    /// What callers aim at for a whole operation.
+    /// Target latency of a whole operation.
     std::chrono::milliseconds target_latency{0};
-    /// How old a read may be; unused where reads go to the primary.
+    /// Freshness bound of reads; unused where reads go to the primary.
     std::chrono::milliseconds max_staleness{0};
-    /// 0 is served first.
+    /// 0 is the highest.
     int priority{0};
-    /// Open to callers without a key.
+    /// Whether callers without a key have access.
     bool keyless{true};
 };
 
 /// A replicated database service.
 struct service_limits {
     std::string service;
-    /// Connections that one backend server takes from all proxies together.
+    /// Connections that one backend server accepts from all proxies together.
     std::size_t max_connections{0};
-    /// Replicas that acknowledge a commit before the caller hears of it.
+    /// Replicas that must acknowledge a commit before the caller gets its answer.
     int synchronous_replicas{0};
 };
 
-/// One version of the operators' configuration; versions only grow.
+/// One version of the operators' configuration; versions are monotonic.
 struct configuration {
     std::uint64_t version{0};
     std::map<std::string, database_route, std::less<>> routes;
     std::map<std::string, service_limits, std::less<>> services;
-    /// Whose key is whose; empty where nobody needs one.
+    /// Accounts and their keys; empty when no keys are required.
     accounts::directory accounts;
-    /// A transaction whose caller is silent for longer may be ended.
+    /// A transaction that is idle for longer may be ended.
     std::chrono::milliseconds transaction_idle{0};
 };
 
-/// What a backend server says it is.
+/// The role that a backend server registered with.
 enum class server_role { primary, replica };
 
-/// One backend server as it registered itself.
+/// The registration of one backend server.
 struct backend_server {
     std::string id;
     std::string service;
     tcp::endpoint address;
     std::string data_center;
+    /// Statements that it executes concurrently.
     std::size_t slots{1};
-    /// When its process started, in Unix milliseconds; 0 when it does not say.
-    /// A server that starts again under its id knows nothing of before.
+    /// When its process started, in Unix milliseconds; 0 when not reported.
+    /// A server that restarts under the same id keeps no state of its previous
+    /// process.
     std::uint64_t started_at_ms{0};
     bool draining{false};
     server_role role{server_role::replica};
 
-    /// Whether this is a later start of the same server.
+    /// Whether this is a restart of the same server; false when either start
+    /// time is unknown.
     [[nodiscard]] bool started_after(const backend_server& before) const noexcept {
         return started_at_ms > before.started_at_ms && before.started_at_ms != 0;
     }
--- a/src/cornellever/routing/placement.cpp
+++ b/src/cornellever/routing/placement.cpp
@@ -4,15 +4,16 @@
 
 namespace {
 
-/// A round trip to another data centre takes 2.8 ms longer than within one;
-/// the rest stands for the bytes between them, which are paid for.
+/// A round trip to another data centre takes 2.8 ms longer than within one; the
+/// rest accounts for the cost of traffic between data centres, which is billed.
 constexpr double other_data_center_penalty_ms = 5.0;
 
-/// Reads keep away from the primary, whose slots alone can run writes, until
-/// the replicas are this much slower: about one read's work (9 ms on average).
+/// Reads avoid the primary, the only server that can run writes, until the
+/// replicas are slower by this much: about the work of one read (9 ms on
+/// average).
 constexpr double primary_penalty_ms = 8.0;
 
-/// Bringing over a session's values costs bytes and hardly any time.
+/// Replaying a session's values costs bandwidth and hardly any time.
 constexpr double replay_cost_ms = 0.2;
 
 double expected_ms(const placement_candidate& item) {
--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -22,37 +22,39 @@
 template <backend_link Link>
 struct pool_entry;
 
-/// A pooled connection and what is known of it.
+/// A pooled connection and its state.
 template <backend_link Link>
 struct pooled_slot {
     std::unique_ptr<Link> connection;
+    /// The server that it is connected to.
     pool_entry<Link>* server_entry{nullptr};
-    /// The server was told this account when the connection was opened, and
-    /// takes all statements on it for that account's; empty for the proxy's own.
+    /// The account that the connection was opened for: the server attributes all
+    /// statements on it to that account. Empty for the proxy's own.
     std::string account{};
-    /// When it was last handed back.
+    /// When it last became idle.
     boot_clock::time_point returned_at{};
+    /// Session state that is set up on the connection.
     session::connection_memory memory;
-    /// In use by a request, or by the pool's own housekeeping.
+    /// Checked out by a request or used by the pool's housekeeping.
     bool busy{false};
-    /// Held by a transaction whose caller is between two statements.
+    /// Held by a transaction that is between two statements.
     bool idle_in_transaction{false};
-    /// A statement runs on it whose answer is awaited.
+    /// A request is waiting for the answer to a statement.
     bool awaiting_reply{false};
-    /// The answer is late by so much that it is taken to be lost.
+    /// The answer is so late that it is presumed lost (see `overdue_after`).
     bool overdue{false};
-    /// A transaction that the server accepted as its primary is open and
-    /// unused. A read in it is refused once the server has lost the lead, so
-    /// it needs no other proof of freshness.
+    /// A read-write transaction was opened ahead of use, which the server only
+    /// accepts as the primary. A read in it is refused once the server is no
+    /// longer the primary, so it needs no other check of freshness.
     bool primed{false};
-    /// When that transaction was opened.
+    /// When the statement that opened this transaction was sent.
     boot_clock::time_point primed_at{};
-    /// When the statements were sent whose answers are still owed.
+    /// When the last batch was sent.
     boot_clock::time_point sent_at{};
 };
 
-/// How long statements take at a server, as a moving average that goes back to
-/// the ordinary while the server is not used: a server that was slow once is
+/// Exponential moving average of the statement time on a server. It decays to a
+/// default while the server is unused, so that a server that was slow once is
 /// tried again.
 class statement_time_average {
 public:
@@ -67,7 +69,7 @@
     }
 
 private:
-    /// About the mean work of today's statements.
+    /// About the mean execution time of a statement.
     static constexpr double default_ms = 10.0;
     static constexpr double weight = 0.15;
     static constexpr double half_life_s = 1.5;
@@ -76,69 +78,71 @@
     boot_clock::time_point m_at{};
 };
 
-/// How late an answer has to be to count as lost, where statements usually take
-/// `statement_time_ms`. An answer that is lost on its way leaves its connection mute
-/// until the statement's own timeout (800 ms for a write, which must not be run
-/// again); were that the only one, everything else would wait as long. One in a
-/// hundred statements takes five times the usual.
+/// The delay after which an answer is presumed lost, given the average statement
+/// time. A lost answer blocks its connection until the statement times out (800
+/// ms for a write, which must not be retried); if that is the only connection,
+/// all other requests wait as long. One in a hundred statements takes five times
+/// the average.
 [[nodiscard]] inline std::chrono::milliseconds overdue_after(double statement_time_ms) {
     constexpr std::chrono::milliseconds shortest{100};
     constexpr double multiple = 4.0;
     return std::max(shortest, std::chrono::milliseconds{std::llround(multiple * statement_time_ms)});
 }
 
-/// One backend server, its connections, and what was seen of it.
+/// One backend server, its pooled connections and its observed state.
 template <backend_link Link>
 struct pool_entry {
     using time_point = boot_clock::time_point;
 
     backend_server server;
     std::vector<std::unique_ptr<pooled_slot<Link>>> open_connections;
-    /// Connections being opened, and for whom where it is for an account.
+    /// Connections being opened, and the accounts of those opened for one.
     std::size_t opening{0};
     std::vector<std::string> opening_for;
-    /// No connection is opened before that: the last try failed.
+    /// Backoff: no connection is opened before this time.
     time_point open_after{};
     int failed_opens{0};
-    /// When it last refused a connection for having too many.
+    /// When it last refused a connection with `too_many_connections`.
     time_point limit_reached_at{};
     statement_time_average statement_time;
+    /// Statements that this proxy is running there.
     std::size_t in_flight{0};
-    /// How far it has applied the log, where it is a replica.
+    /// How far it has applied the log; unused for the primary.
     replica_progress progress;
     leadership_backoff refusal_backoff;
-    /// Since when it leads with an empty log while another registered server,
-    /// which may hold its commits, has not answered.
+    /// Since when it is the primary with an empty log while another registered
+    /// server, which may hold its commits, has not answered yet.
     std::optional<time_point> empty_log_since;
-    /// The last answer of any kind, and the last sign that nobody answers.
+    /// The last answer of any kind, refused connection and timeout.
     time_point last_contact_at{};
     time_point refused_at{};
     time_point timed_out_at{};
-    /// No longer registered, or started again; kept until its connections are
-    /// handed back.
+    /// Deregistered or restarted; the entry is kept until its connections have
+    /// been returned.
     bool retired{false};
-    /// Set where the server started again: a lead that was proved before was
-    /// that of its process before.
+    /// Set when the server restarted or lost its log: leadership confirmations
+    /// requested earlier don't count.
     time_point leadership_valid_after{};
-    /// When it was first seen to be leaving.
+    /// When it was first seen draining.
     std::optional<time_point> draining_since;
 
-    /// Whether it is not used for that: the other server may still answer.
+    /// Whether it is not used as the primary yet because of its empty log: the
+    /// other server may still answer.
     [[nodiscard]] bool awaits_other_logs(time_point now) const {
         return empty_log_since && now - *empty_log_since < other_logs_wait;
     }
 
-    /// Connections open or being opened.
+    /// Connections that are open or being opened.
     [[nodiscard]] std::size_t held() const noexcept { return open_connections.size() + opening; }
 
-    /// Any connection that is not in use; null when there is none.
+    /// Any idle connection; null when there is none.
     [[nodiscard]] pooled_slot<Link>* any_idle() const {
         const auto found = std::ranges::find_if(open_connections, [](const auto& item) { return !item->busy; });
         return found == open_connections.end() ? nullptr : found->get();
     }
 
-    /// The connection that has been idle for longest among those whose account
-    /// `matches` holds for; null when there is none.
+    /// The least recently used idle connection whose account `matches`; null when
+    /// there is none.
     template <std::predicate<const std::string&> Predicate>
     [[nodiscard]] pooled_slot<Link>* longest_idle(Predicate matches) const {
         pooled_slot<Link>* out = nullptr;
@@ -150,7 +154,8 @@
         return out;
     }
 
-    /// Connections of an account that can run a statement, or will.
+    /// Connections of an account that can run a statement now or soon, including
+    /// those being opened.
     [[nodiscard]] std::size_t usable_count(std::string_view account) const {
         const auto open = std::ranges::count_if(open_connections, [&](const auto& item) {
             return item->account == account && !item->idle_in_transaction && !item->overdue;
@@ -158,7 +163,6 @@
         return static_cast<std::size_t>(open + std::ranges::count(opening_for, account));
     }
 
-    /// Idle connections of an account.
     [[nodiscard]] std::size_t idle_count(std::string_view account) const {
         return static_cast<std::size_t>(std::ranges::count_if(
             open_connections, [&](const auto& item) { return !item->busy && item->account == account; }));
@@ -169,8 +173,8 @@
             std::ranges::count_if(open_connections, [](const auto& item) { return !item->busy; }));
     }
 
-    /// Connections in use, but for those that rest in a transaction and those
-    /// whose answer is overdue.
+    /// Connections in use, except those idle in a transaction and those whose
+    /// answer is overdue.
     [[nodiscard]] std::size_t active_count() const {
         return static_cast<std::size_t>(std::ranges::count_if(open_connections, [](const auto& item) {
             return item->busy && !item->idle_in_transaction && !item->overdue;
@@ -182,7 +186,8 @@
             std::ranges::count_if(open_connections, [](const auto& item) { return item->overdue; }));
     }
 
-    /// Marks the connections whose answer has become overdue; whether any has.
+    /// Marks the connections whose answer has become overdue; true when there
+    /// are new ones.
     bool mark_overdue(time_point now) {
         const auto limit = overdue_after(statement_time.value(now));
         bool out = false;
@@ -195,11 +200,11 @@
         return out;
     }
 
-    /// Whether nobody answered since the last answer.
+    /// Whether the last attempt to reach it was refused or timed out.
     [[nodiscard]] bool unreachable() const noexcept { return std::max(refused_at, timed_out_at) > last_contact_at; }
 
 private:
-    /// Longer than most servers take to start again.
+    /// Longer than most servers take to restart.
     static constexpr std::chrono::milliseconds other_logs_wait{5000};
 };
 
--- a/src/cornellever/routing/queue_estimate.hpp
+++ b/src/cornellever/routing/queue_estimate.hpp
@@ -10,33 +10,35 @@
 
 namespace cornellever::routing {
 
-/// A server as requests that wait for it see it.
+/// The capacity of a server, or of several, for the statements of this proxy.
 struct server_capacity {
-    /// Statements that this proxy runs there at a time; 0 without a connection.
+    /// Statements that this proxy runs there concurrently; 0 without a connection.
     std::size_t concurrency{0};
-    /// How long one takes, the server's own queue included.
+    /// Average time of a statement, including the server's own queue.
     std::chrono::duration<double, std::milli> statement_time{0};
 };
 
-/// A set of servers: bit i stands for the i-th.
+/// A set of servers: bit i stands for the i-th server.
 using server_set = std::uint64_t;
 
-/// A request that waits for a connection to one of some servers.
+/// A request in the wait queue.
 struct queued_request {
+    /// The servers that are eligible for it.
     server_set servers{0};
-    /// It is of no use to it to begin later.
+    /// The latest time at which it is worth starting.
     boot_clock::time_point until{};
 };
 
-/// How many statements the servers of a set run at a time together, and how
-/// long one takes on average.
+/// The total concurrency of the servers of a set and their average statement
+/// time, weighted by throughput.
 [[nodiscard]] server_capacity combined_capacity(std::span<const server_capacity> servers, server_set of);
 
-/// How many of `before` wait for any server of a set.
+/// How many of the requests `before` are eligible for any server of a set.
 [[nodiscard]] std::size_t count_competing(std::span<const queued_request> before, server_set of);
 
-/// Which requests of a line, in the order of their turns, are not expected to
-/// get theirs in time, from number `first` on.
+/// The positions, from `first` on, of the requests in a queue that are not
+/// expected to be served in time. Requests found late don't count against those
+/// behind them.
 [[nodiscard]] std::vector<std::size_t> too_late(std::span<const server_capacity> servers,
                                                 std::span<const queued_request> queue, std::size_t first,
                                                 boot_clock::time_point now);
--- a/src/cornellever/routing/read_floor.cpp
+++ b/src/cornellever/routing/read_floor.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// Samples closer together than this are not kept apart: a read's floor may be
-/// that much stricter than it needs to be, and the list stays short.
+/// Samples closer together than this are merged, which keeps the list short and
+/// makes a read floor at most this much stricter than necessary.
 constexpr auto min_spacing = std::chrono::milliseconds{40};
 
-/// Longer than any staleness that routes state today (2.5 s) with room.
+/// Well above the freshness bounds of routes (up to 2.5 s).
 constexpr auto retention = std::chrono::seconds{10};
 
-/// Replicas apply a commit this long after the primary at the most (the users'
-/// replicas: 20 to 50 ms on average, 300 ms at worst).
+/// The longest time after the primary at which replicas apply a commit: 20 to
+/// 50 ms on average, 300 ms at worst.
 constexpr auto max_apply_delay = std::chrono::milliseconds{300};
 
 } // namespace
@@ -33,7 +33,8 @@
         }
     }
     if (m_samples.empty()) {
-        // A proxy that has just started takes the term to be an old one.
+        // After a start the proxy can't know when the term began and assumes that
+        // it began long ago.
         m_term_start = sample.position.number;
         m_first_entry = m_term_start;
     } else if (m_samples.back().position.term < sample.position.term) {
@@ -77,19 +78,20 @@
                         [&](const auto& sample) { return entry_known(sample); });
 }
 
-/// A commit of an older term that the present primary did not have when it was
-/// promoted. Nobody is owed it, and no log will hold it.
+/// Whether a commit of an older term was missing on the current primary when it
+/// was promoted. No guarantee covers it any more, and no log will hold it.
 bool read_floor::rolled_back(const sql::log_position& at) const {
     return at.term < m_samples.back().position.term && at.number > m_term_start;
 }
 
-// Any sample that is recent enough will do; the question is which of them logs
-// hold. A new primary's first position names its term and the last entry of an
-// older one, a combination that no log holds until the next commit: replicas
-// that had everything refused all reads for 2.5 s after a promotion, and the
-// primary got them. An older term's position stays good as it is: a log that
-// holds it has all that was acknowledged before. It is left for one of the new
-// term as soon as replicas have that, since it may have been rolled back.
+// Any sample that is recent enough is sufficient, but logs must hold an entry at
+// its position. A new primary's first position combines its own term with the
+// number of the last entry of an older term, and no log holds that position until
+// the next commit. Used as a floor, it would make replicas that are up to date
+// refuse all reads for 2.5 s after a promotion, and send these to the primary. A
+// position of the older term remains valid: a log that holds it has everything
+// acknowledged before. It is replaced by one of the new term once replicas have
+// applied that, because it may have been rolled back.
 sql::log_position read_floor::lowest_sufficient(std::size_t oldest, time_point now) const {
     const auto& first = m_samples[oldest];
     if (entry_known(first)) {
@@ -117,14 +119,16 @@
     }
     const auto out = lowest_sufficient(static_cast<std::size_t>(oldest - m_samples.begin()), now);
     if (!own_commit || in_current_term(out)) {
-        // An entry of the present term implies all of earlier ones that was kept.
+        // A log that holds an entry of the current term holds everything that was
+        // kept of earlier terms.
         return own_commit && own_commit->term == out.term ? std::max(out, *own_commit) : out;
     }
     if (!rolled_back(*own_commit)) {
         return std::max(out, *own_commit);
     }
-    // The session's last commit is gone; one before it may have been kept, and
-    // an older term's sample does not tell. Any entry of the present term does.
+    // The session's last commit was rolled back, but an earlier one may have been
+    // kept, which a sample of an older term doesn't guarantee. Any entry of the
+    // current term does.
     const auto known = first_known(0);
     return known == m_samples.end() ? std::nullopt : std::optional{known->position};
 }
--- a/src/cornellever/routing/replica_progress.hpp
+++ b/src/cornellever/routing/replica_progress.hpp
@@ -9,29 +9,29 @@
 
 namespace cornellever::routing {
 
-/// How far a replica has applied the log, from the positions that its answers
-/// name, and how long after the primary it does so. Tells which reads to keep
-/// away from it: a read that is sent where its floor is not reached costs its
-/// caller a round trip for each replica, and its proxy a connection meanwhile.
+/// Estimates how far a replica has applied the log from the positions in its
+/// answers, and its replication lag. Reads are not sent to a replica that is
+/// expected to be behind their floor: each such attempt costs the caller a round
+/// trip and occupies a connection.
 class replica_progress {
 public:
     using time_point = boot_clock::time_point;
 
-    /// An answer that was taken at `at` named `applied` as the replica's
-    /// position; `primary` holds what is known of the primary's.
+    /// Records an answer received at `at` that reported `applied` as the replica's
+    /// position; `primary` holds the samples of the primary.
     void note(const sql::log_position& applied, time_point at, const read_floor& primary);
 
-    /// Whether the replica is expected to lack `floor` at `now`. It is not where
-    /// nothing is known of it.
+    /// Whether the replica is expected not to have reached `floor` at `now`; false
+    /// when it has not reported a position yet.
     [[nodiscard]] bool lacks(const sql::log_position& floor, time_point now, const read_floor& primary) const;
 
-    /// The position that it named last.
+    /// The last reported position.
     [[nodiscard]] const std::optional<sql::log_position>& applied() const noexcept { return m_applied; }
 
-    /// How long after the primary it applied what it named last.
+    /// The smoothed replication lag.
     [[nodiscard]] std::chrono::nanoseconds lag() const noexcept { return m_lag; }
 
-    /// When it named a position last; the epoch when never.
+    /// When a position was last reported; the epoch when never.
     [[nodiscard]] time_point seen_at() const noexcept { return m_seen_at; }
 
 private:
--- a/src/cornellever/routing/servers_by_service.hpp
+++ b/src/cornellever/routing/servers_by_service.hpp
@@ -8,10 +8,10 @@
 
 namespace cornellever::routing {
 
-/// The servers of a registry by their service, each in the order of ids.
+/// The servers of a registry grouped by service, each group ordered by id.
 using servers_by_service = std::map<std::string, std::vector<const backend_server*>, std::less<>>;
 
-/// Points into `servers`, which has to outlive the result unchanged.
+/// The result points into `servers`, which must outlive it unchanged.
 [[nodiscard]] inline servers_by_service group_by_service(const registry& servers) {
     servers_by_service out;
     for (const auto& [id, server] : servers.servers) {
--- a/src/cornellever/routing/wait_queue.hpp
+++ b/src/cornellever/routing/wait_queue.hpp
@@ -11,12 +11,12 @@
 
 namespace cornellever::routing {
 
-/// Requests waiting for a connection: lower priority numbers first, and among
-/// equals the one whose time runs out first. `T` has `priority` and `until`.
+/// A queue of requests waiting for a connection, ordered by priority number and
+/// then by deadline. `T` has the members `priority` and `until`.
 template <typename T>
 class wait_queue {
 public:
-    /// Adds an item, which must stay where it is until removed.
+    /// Adds an item, whose address must stay valid until it is removed.
     void enqueue(T& item) {
         auto at = m_items.begin();
         while (at != m_items.end() && !before(item, **at)) {
@@ -27,7 +27,7 @@
 
     void dequeue(T& item) { m_items.remove(&item); }
 
-    /// Removes and returns the first item that `eligible`; null when none does.
+    /// Removes and returns the first eligible item; null when there is none.
     template <std::predicate<const T&> Predicate>
     T* take_first(Predicate eligible) {
         for (auto at = m_items.begin(); at != m_items.end(); ++at) {
@@ -40,10 +40,10 @@
         return nullptr;
     }
 
-    /// The items in the order in which they will be served.
+    /// The items in the order in which they are served.
     [[nodiscard]] const std::list<T*>& items() const noexcept { return m_items; }
 
-    /// How many items would be served before one of this priority and time.
+    /// How many items would be served before one of this priority and deadline.
     [[nodiscard]] std::size_t queue_position(std::int64_t priority, boot_clock::time_point until) const {
         const auto behind = std::ranges::find_if(m_items, [&](const auto* item) {
             return item->priority != priority ? priority < item->priority : until < item->until;
