--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -30,10 +30,10 @@
 
 namespace cornellever::routing {
 
-/// The connections of this proxy to the servers of one service: opens them
-/// within the budget, hands them to requests, keeps those to the primary armed
-/// (see `pooled_slot`) and collects freshness samples on the way.
-/// Used from the traffic thread only.
+/// The connection pool of this proxy for the servers of one service. It opens
+/// connections within a budget, lends them to requests, keeps idle connections to
+/// the primary primed (see `pooled_slot`), tracks which server is the primary and
+/// collects freshness samples. Used from the traffic thread only.
 template <link_connector Connector>
 class service_pool {
 public:
@@ -53,11 +53,11 @@
     service_pool(const service_pool&) = delete;
     service_pool& operator=(const service_pool&) = delete;
 
-    /// Connections to each server that this proxy may hold, how many proxies
-    /// use the same servers, and whether it is meant to be one of these. One
-    /// that is not serves what nobody else takes, and then gives the
-    /// connections back. `under_load` is how many it may hold to each while
-    /// requests of accounts wait that have none.
+    /// Sets how many connections to each server this proxy may hold, how many
+    /// proxies share the servers, and whether it is a connection owner. A proxy
+    /// that is not opens connections only for requests that it can't relay, and
+    /// closes them afterwards. `under_load` replaces `connections` while requests
+    /// of accounts without a connection wait.
     void set_budget(std::size_t connections, std::size_t proxies, bool owned = true, std::size_t under_load = 0) {
         m_budget = connections;
         m_proxies = proxies;
@@ -65,25 +65,24 @@
         m_budget_under_load = std::max(under_load, connections);
     }
 
-    /// A configuration came into force. A transaction that was opened before
-    /// counts as routed by the older one, so that no statement which the newer
-    /// one routes may run in it.
+    /// A new configuration takes effect. Transactions opened before belong to the
+    /// previous configuration, so no statement routed by the new one may use them.
     void start_epoch(time_point now) { m_epoch = now; }
 
-    /// Whether statements may use the transaction that is open on `held`.
+    /// Whether statements may use the transaction that was opened ahead on `held`.
     [[nodiscard]] bool is_primed(const slot& held) const { return held.primed && held.primed_at >= m_epoch; }
 
-    /// Takes the registered servers of the service.
+    /// Replaces the registered servers of the service.
     void update(std::span<const backend_server* const> servers);
 
-    /// A connection for `request`, waiting for one until `request.until`; none when
-    /// that passes.
+    /// Checks out a connection for `request`, waiting until `request.until`. The
+    /// lease is empty when none became free or none is expected to in time.
     asio::awaitable<lease> acquire(connection_request request);
 
-    /// Housekeeping, every `housekeeping_period`.
+    /// Periodic housekeeping; the caller sets the period.
     void tick();
 
-    /// An answer of a server. `took` is given for statements that ran there.
+    /// Records an answer of a server; `took` is set for statements executed there.
     void note_reply(entry& from, std::optional<std::chrono::nanoseconds> took) {
         from.last_contact_at = boot_clock::now();
         if (took) {
@@ -91,109 +90,113 @@
         }
     }
 
-    /// A server said, or showed by silence, that it can't be used.
+    /// Records a failed exchange with a server.
     void note_failure(entry& from, link_failure why) {
         if (why == link_failure::silent) {
             from.timed_out_at = boot_clock::now();
         }
     }
 
-    /// An answer of a server named this as its position.
+    /// Records the log position in an answer of a replica.
     void note_position(entry& from, const std::optional<sql::log_position>& position) {
         if (position && from.server.id != m_primary) {
             from.progress.note(*position, boot_clock::now(), m_read_floor);
         }
     }
 
-    /// A server refused as not being the primary: another one is looked for.
+    /// Records a `not_primary` refusal and starts searching for the new primary.
     void note_not_primary(entry& from);
 
-    /// A server acknowledged a commit that was sent at `sent_at`.
+    /// Records that a server acknowledged a commit sent at `sent_at`.
     void note_commit(entry& from, time_point sent_at, const std::optional<sql::log_position>& position);
 
-    /// A peer saw `id` prove its lead after `leadership_confirmed_at`. It counts less than
-    /// what this proxy found out itself about the server's log and lead.
+    /// A peer received a leadership confirmation of `id`, requested at
+    /// `leadership_confirmed_at`. What this proxy knows itself about the server's
+    /// log and its refusals takes precedence.
     void accept_peer_confirmation(const std::string& id, time_point leadership_confirmed_at);
 
-    /// A peer knows that `id` had come to `position` while it led.
+    /// A peer reports the log position that `id` had reached as the primary.
     void note_reported_position(const std::string& id, const sql::log_position& position) {
         m_high_water_mark.note_reported_position(id, position, boot_clock::now());
     }
 
-    /// A sample of a peer; its time is not later than the truth.
+    /// Adds a sample received from a peer. Its time may be too early, never too
+    /// late.
     void add_sample(const freshness_sample& sample) { m_read_floor.add(sample); }
 
     [[nodiscard]] const read_floor& floor() const noexcept { return m_read_floor; }
     [[nodiscard]] const std::string& primary() const noexcept { return m_primary; }
-    /// Whether the primary has proved its lead to this proxy or to a peer. What
-    /// the registry says of one that has just started again may not be so.
+    /// Whether the primary's leadership was confirmed to this proxy or to a peer.
+    /// The registered role alone may be wrong for a server that just restarted.
     [[nodiscard]] bool leadership_confirmed() const noexcept { return m_leadership_confirmed_at != time_point{}; }
+    /// Requests in the wait queue.
     [[nodiscard]] std::size_t waiting() const noexcept { return m_wait_queue.size(); }
     [[nodiscard]] const std::map<std::string, std::unique_ptr<entry>, std::less<>>& entries() const noexcept {
         return m_entries;
     }
 
-    /// What this proxy sees of the primary, for its peers.
+    /// This proxy's observation of the primary, to be shared with peers.
     [[nodiscard]] primary_observation observation() const;
 
-    /// What a request finds that would wait as long as `limits` allow: servers
-    /// that could run it now, and how many stand before it in the line.
+    /// The load that a request faces if it waits as long as `limits` allow: the
+    /// capacity of the eligible servers and the requests queued ahead of it.
     [[nodiscard]] load_view expected_load(const connection_request& request, const time_limits& limits) const;
 
-    /// An answer is awaited on `held`, or no more.
+    /// Marks whether a request waits for an answer on `held`.
     void set_awaiting_reply(slot& held, bool awaiting_reply) {
         held.awaiting_reply = awaiting_reply;
         held.overdue = false;
     }
 
-    /// A transaction holds a connection without a statement on it: another
-    /// request may use its share of the server.
+    /// Marks a connection as held by a transaction that is between two statements;
+    /// another request may use its share of the server's concurrency.
     void mark_idle_in_transaction(slot& held);
 
-    /// Whether any request has asked for a connection yet.
+    /// Whether any request needed a connection since connections were last closed
+    /// for lack of use.
     [[nodiscard]] bool used() const noexcept { return m_used; }
 
-    /// Whether the primary is known and answered when last tried.
+    /// Whether the primary is known and the last attempt to reach it succeeded.
     [[nodiscard]] bool primary_reachable() const {
         const auto found = m_entries.find(m_primary);
         return found != m_entries.end() && !found->second->unreachable();
     }
 
-    /// Whether the primary has not been heard of for so long although it was
-    /// asked: it is lost, or the path to it is.
+    /// Whether the primary has been unreachable for at least `span`: either it
+    /// failed or the network path to it did.
     [[nodiscard]] bool primary_unreachable_for(std::chrono::milliseconds span) const {
         const auto found = m_entries.find(m_primary);
         return found != m_entries.end() && found->second->unreachable() &&
                boot_clock::now() - found->second->last_contact_at >= span;
     }
 
-    /// Whether others reach the primary, which this proxy does not: no other
-    /// one is going to be promoted.
+    /// Sets whether peers reach the primary while this proxy doesn't. In that case
+    /// no other server is going to be promoted.
     void set_path_cut(bool cut) { m_path_cut = cut; }
     [[nodiscard]] bool path_cut() const noexcept { return m_path_cut; }
 
-    /// Has the primary asked for its position soon.
+    /// Requests a new freshness sample from the primary.
     void request_sample() {
         note_use();
         tick();
     }
 
-    /// Opens a transaction that proves the server's lead, on a connection that
-    /// is in use: the connection is armed when this yields true. Waits for the
-    /// proof, since a read sent right behind a refused BEGIN would run without
-    /// it.
+    /// Opens a transaction on a connection in use, which confirms the server's
+    /// leadership; true when the connection is primed. Waits for the answer,
+    /// because a read pipelined behind a refused BEGIN would run unconfirmed.
     asio::awaitable<bool> confirm_leadership(slot& held, time_point until);
 
-    /// Asks one server whether it leads, over an idle or a new connection.
+    /// Requests a leadership confirmation from one server on an idle or a new
+    /// connection.
     asio::awaitable<void> probe(std::string id);
 
-    /// Whether a server leads, over a connection opened for the question: one
-    /// that was open before may have gone silent. A server that refuses another
-    /// connection answers, and counts as leading; one that does not answer
-    /// within `limit` does not.
+    /// Whether a server is the primary, checked on a new connection because an
+    /// existing one may be dead. A server that refuses the connection with
+    /// `too_many_connections` is alive and counts as the primary; one that doesn't
+    /// answer within `limit` doesn't.
     asio::awaitable<bool> is_primary_now(std::string id, std::chrono::milliseconds limit);
 
-    /// Each server's own report of its log, for choosing a new primary.
+    /// Sends a control command to one server, for example for its status.
     asio::awaitable<link_reply> ask(std::string id, sql::command what, std::chrono::milliseconds limit);
 
 private:
@@ -206,7 +209,7 @@
         time_point enqueued_at{};
         asio::steady_timer timer;
         slot* granted{nullptr};
-        /// Its turn will come too late: others went before it meanwhile.
+        /// It was overtaken and is no longer expected to be served in time.
         bool too_late{false};
     };
 
@@ -233,8 +236,8 @@
         m_used_at = boot_clock::now();
     }
     void close_unused(time_point now);
-    /// Connections of accounts may be more than the budget for a while, but for
-    /// a server that is full.
+    /// Account connections may exceed the budget for a while, except on a server
+    /// that recently reached its connection limit.
     [[nodiscard]] std::size_t connection_cap(const entry& at) const {
         return m_account_traffic && boot_clock::now() - at.limit_reached_at >= limit_reached_for ? m_budget_under_load
                                                                                                  : m_budget;
@@ -272,38 +275,41 @@
     void poll_progress(entry& at, time_point now);
     asio::awaitable<void> query_position(slot& held);
 
-    /// Deadline of statements that take no slot at a server: several round
-    /// trips (3 ms) and a good part of what a slow VM needs.
+    /// Timeout of control statements, which take no execution slot: several round
+    /// trips (3 ms) plus time for a slow VM.
     static constexpr std::chrono::milliseconds control_limit{600};
     static constexpr std::chrono::milliseconds open_limit{900};
     static constexpr std::chrono::milliseconds initial_backoff{60};
     static constexpr std::chrono::milliseconds max_backoff{600};
-    /// Without traffic at the primary for so long, its lead and position are
-    /// asked for: a read may be 1.5 s old, and a lost primary has to be noticed.
+    /// After this time without traffic to the primary, a leadership confirmation is
+    /// requested: the freshness bound of reads may be 1.5 s, and a failed primary
+    /// has to be detected.
     static constexpr std::chrono::milliseconds refresh_after{200};
     static constexpr std::chrono::milliseconds search_period{40};
-    /// Connections being opened to one server at a time for accounts: each holds
-    /// one of the server's slots as long as a short statement.
+    /// Account connections being opened to one server at a time: each opening
+    /// takes one of the server's execution slots for as long as a short statement.
     static constexpr std::size_t max_openings = 2;
-    /// A replica that is further behind than this is asked how far it is, so
-    /// that reads return to it without one of them being refused first. Replicas
-    /// apply a commit within 50 ms on average.
+    /// A replica with a larger replication lag is polled for its position, so that
+    /// reads return to it without being refused first. Replicas apply a commit
+    /// within 50 ms on average.
     static constexpr std::chrono::milliseconds normal_lag{150};
     static constexpr std::chrono::milliseconds progress_poll_period{100};
-    /// Connections of a proxy that does not own them are given back after so
-    /// long without a request: longer than a transaction rests, and short beside
-    /// a partition. After one of 12 s that a third of 195 proxies was behind, those
-    /// that kept theirs filled the servers: 1 in 30 requests was refused from then on.
+    /// A proxy that is not a connection owner closes its connections after this
+    /// time without a request: longer than a transaction stays idle, and short
+    /// compared with a network partition. If such proxies keep the connections they
+    /// opened during a partition, the servers stay at their connection limit: after
+    /// a 12 s partition of a third of 195 proxies, 1 in 30 requests was refused.
     static constexpr std::chrono::milliseconds unused_for{1000};
-    /// Beyond the budget, a connection that nobody used for so long is closed: a
-    /// few statements' time, in which its account has not come again.
+    /// A connection beyond the budget is closed after being idle for this long: the
+    /// time of a few statements, during which its account made no request.
     static constexpr std::chrono::milliseconds surplus_after{300};
-    /// A server counts the connections of processes that lost power for 3 s. While
-    /// it refuses more, taking them beyond the budget keeps those from coming back
-    /// that have none.
+    /// For this long after a server refused a connection at its limit, the budget
+    /// is not exceeded there. A server counts the connections of processes that lost
+    /// power for another 3 s, and more connections of this proxy would keep proxies
+    /// without any from reconnecting.
     static constexpr std::chrono::milliseconds limit_reached_for{3500};
-    /// The registry is told 7 s before a server leaves; new work stops well
-    /// before, and only the primary gets any at all.
+    /// A server is registered as draining 7 s before it stops. Only the primary gets
+    /// new requests while draining, and only for this long.
     static constexpr std::chrono::milliseconds draining_primary_use{5500};
 
     asio::any_io_executor m_executor;
@@ -318,14 +324,14 @@
     wait_queue<waiter> m_wait_queue;
     read_floor m_read_floor;
     log_high_water_mark m_high_water_mark;
-    /// A server that leads without the commits of before; empty when none does.
+    /// The id of a primary that has lost commits; empty when there is none.
     std::string m_log_lost_server;
     std::string m_primary;
     time_point m_leadership_confirmed_at{};
     time_point m_epoch{};
     bool m_searching{false};
     bool m_used{false};
-    /// Requests of accounts came: connections are opened for one of them each.
+    /// Requests of accounts have arrived: each connection is opened for one account.
     bool m_account_traffic{false};
     time_point m_used_at{};
     bool m_is_owner{true};
--- a/src/cornellever/routing/service_pool.ipp
+++ b/src/cornellever/routing/service_pool.ipp
@@ -20,7 +20,8 @@
         } else if (!item->draining) {
             at->draining_since.reset();
         }
-        // Beside a primary that lost its log, an older one's row may still be there.
+        // A stale registration of an earlier primary may still exist beside a
+        // primary that lost its log.
         const bool unconfirmed = !m_log_lost_server.empty() || at->awaits_other_logs(now);
         if (m_primary.empty() && item->role == server_role::primary && !unconfirmed) {
             m_primary = item->id;
@@ -34,9 +35,9 @@
     }
 }
 
-/// Ends the entries of servers that are not among `servers`, and of those that
-/// have started again under their id, whose ids it returns: what was known of
-/// them is not so any more.
+/// Retires the entries of servers that are not among `servers` and of those that
+/// restarted under the same id, whose observed state is obsolete. Returns the ids
+/// of the restarted servers.
 template <link_connector Connector>
 std::set<std::string, std::less<>>
 service_pool<Connector>::retire_all_but(std::span<const backend_server* const> servers) {
@@ -77,8 +78,8 @@
     }
 }
 
-/// Closes the idle connections of an entry that is used no more; those in use
-/// are closed as they are handed back.
+/// Retires an entry: closes its idle connections now and those in use when they
+/// are returned.
 template <link_connector Connector>
 void service_pool<Connector>::retire(entry& old_entry) {
     old_entry.retired = true;
@@ -86,7 +87,7 @@
     forget_if_empty(old_entry);
 }
 
-/// Closes what a proxy that does not own connections no longer needs.
+/// Closes the unused connections of a proxy that is not a connection owner.
 template <link_connector Connector>
 void service_pool<Connector>::close_unused(time_point now) {
     if (m_is_owner || !m_used || !m_wait_queue.empty() || now - m_used_at < unused_for) {
@@ -156,8 +157,8 @@
                            : 0});
         at.push_back(item.get());
     }
-    // An account has hardly more than one connection to a server, and keeping
-    // that for its writes would open another one elsewhere for each read.
+    // An account rarely has more than one connection to a server. Keeping that
+    // free for writes would open another one elsewhere for each read.
     const bool spare_primary = !request.primary && replica_connected && m_budget > 1 && request.account.empty();
     const auto chosen = place_read(candidates, spare_primary);
     if (!chosen) {
@@ -233,7 +234,7 @@
     make_idle(added);
 }
 
-/// Adds an open connection, in use.
+/// Adds an open connection, marked as in use.
 template <link_connector Connector>
 typename service_pool<Connector>::slot& service_pool<Connector>::add_slot(entry& at, std::unique_ptr<link> connection,
                                                                           const std::string& account) {
@@ -261,8 +262,8 @@
     asio::co_spawn(m_executor, await_pending(held), asio::detached);
 }
 
-/// Awaits the answers that a request left owed, and learns from the last:
-/// where it opened a transaction on a primary, the connection is armed.
+/// Reads the answers that a request left pending. If the last one opened a
+/// transaction on the primary, the connection is primed.
 template <link_connector Connector>
 asio::awaitable<void> service_pool<Connector>::await_pending(slot& held) {
     auto last = co_await held.connection->await_pending(boot_clock::now() + control_limit);
--- a/src/cornellever/routing/service_pool_accounts.ipp
+++ b/src/cornellever/routing/service_pool_accounts.ipp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Connections that belong to one account each: when one is opened, and which
-// makes room for it.
+// Connections that belong to one account each: when to open one and which idle
+// connection to evict for it.
 
 namespace cornellever::routing {
 
@@ -18,14 +18,15 @@
 template <link_connector Connector>
 bool service_pool<Connector>::may_open_for(const entry& at, const std::string& account, bool urgent,
                                            time_point now) const {
-    // More connections of one account than statements that may run there at a
-    // time would only cost others theirs.
+    // More connections of one account than statements that may run there
+    // concurrently would only take connections from other accounts.
     return now >= at.open_after && at.opening_for.size() < max_openings &&
            at.usable_count(account) < max_concurrency(at) &&
            (has_room(at) || eviction_candidate(at, account, urgent) != nullptr);
 }
 
-/// The server to which a connection for an account is best opened.
+/// The best server for a new connection of the request's account; null when none
+/// may be opened.
 template <link_connector Connector>
 typename service_pool<Connector>::entry*
 service_pool<Connector>::choose_server_to_open(const connection_request& request) {
@@ -48,10 +49,10 @@
     return chosen ? at[*chosen] : nullptr;
 }
 
-/// Opens a connection for an account. Where this proxy's share of the server is
-/// used up, the connection that was idle for longest makes room: a server knows
-/// a connection's account from its opening on, so that it can't be handed over.
-/// Those that requests in line can use stay, unless it is urgent.
+/// Opens a connection for an account. When this proxy's share of the server is
+/// used up, the least recently used idle connection is evicted: the account of a
+/// connection is fixed when it is opened, so it can't be reused for another one.
+/// Connections that queued requests can use are spared, unless `urgent`.
 template <link_connector Connector>
 void service_pool<Connector>::open_for_account(entry& at, const std::string& account, bool urgent) {
     if (!has_room(at)) {
@@ -70,11 +71,12 @@
     }
 }
 
-/// Whether a request has let others go before it for long enough. A server that
-/// is short of slots spends one of them on each opening for half as long as on a
-/// statement, so connections are used up first by those whose they are; but an
-/// account with many requests would take each one that comes free, and one with
-/// few would wait for as long as that goes on.
+/// Whether a request has waited so long that it may evict a connection that other
+/// queued requests can use. Opening a connection takes one of the server's
+/// execution slots for half as long as a statement, so existing connections are
+/// normally reused by their own account first. Without a limit, an account with
+/// many requests would take every connection that becomes free and starve accounts
+/// with few.
 template <link_connector Connector>
 bool service_pool<Connector>::has_waited_long(const entry& at, const waiter& item, time_point now) const {
     constexpr double statements = 2.0;
@@ -82,8 +84,8 @@
            statements * at.statement_time.value(now);
 }
 
-/// Grants a connection of its account to a waiter; whether one was idle. Where
-/// none is, one is opened for it.
+/// Grants an idle connection of its account to a waiter; false when there is none.
+/// In that case a connection is opened for it, unless one is already on its way.
 template <link_connector Connector>
 bool service_pool<Connector>::try_serve(entry& at, waiter& next) {
     if (auto* idle = best_idle(at, next.request); idle != nullptr) {
@@ -103,7 +105,7 @@
     return false;
 }
 
-/// Gives back what accounts were given beyond the budget.
+/// Closes idle connections beyond the budget.
 template <link_connector Connector>
 void service_pool<Connector>::close_surplus(entry& at, time_point now) {
     while (at.open_connections.size() > m_budget) {
--- a/src/cornellever/routing/service_pool_leadership.ipp
+++ b/src/cornellever/routing/service_pool_leadership.ipp
@@ -1,11 +1,11 @@
 #pragma once
 
-// Which server leads, by its own answers and by the word of other proxies.
+// Which server is the primary, by its own answers and by reports of peers.
 
 namespace cornellever::routing {
 
-/// Takes from the last answer on a connection whether its server leads: one
-/// that opened a plain transaction does, and the connection is armed.
+/// Evaluates the last answer on a connection. An open read-write transaction
+/// confirms that its server is the primary, and the connection is primed.
 template <link_connector Connector>
 void service_pool<Connector>::evaluate_leadership(slot& held, const sql::reply& from) {
     auto& at = *held.server_entry;
@@ -30,10 +30,11 @@
     }
 }
 
-/// Whether a server that leads, asked at `asked_at`, lacks commits that it had:
-/// it named less than before, or it is empty while another server holds entries.
-/// An empty log that was promoted over those is no better: with the other one
-/// leading, nothing is lost.
+/// Whether a primary has lost commits, by the position `reported` in its answer to a
+/// request sent at `asked_at`: the position is lower than before, or the log is
+/// empty while another server holds entries. This includes an empty server that
+/// was promoted over one with entries: nothing is lost if the other becomes the
+/// primary.
 template <link_connector Connector>
 bool service_pool<Connector>::lacks_commits(const entry& at, const sql::log_position& reported,
                                             time_point asked_at) const {
@@ -47,8 +48,9 @@
            });
 }
 
-/// Whether an empty log still needs the word of another server: this proxy knows
-/// of no commit, and a new service looks the same as one that lost its log.
+/// Whether a primary with an empty log must wait for the positions of the other
+/// servers: this proxy knows of no commit, and a new service looks the same as one
+/// that lost its log.
 template <link_connector Connector>
 bool service_pool<Connector>::needs_other_logs(entry& at, const sql::log_position& reported) const {
     const bool other_unknown = std::ranges::any_of(m_entries, [&](const auto& item) {
@@ -67,8 +69,9 @@
     return at.awaits_other_logs(now);
 }
 
-/// Its lead counts for nothing: another server that has the commits is to be
-/// promoted. It is asked again only now and then.
+/// Disregards the leadership of a server that lost commits, so that a server that
+/// has them is promoted. New connections to it are attempted with the longest
+/// backoff.
 template <link_connector Connector>
 void service_pool<Connector>::note_log_lost(entry& at, const sql::log_position& reported) {
     const auto now = boot_clock::now();
@@ -101,7 +104,7 @@
     }
 }
 
-/// A server proved its lead after `asked_at`.
+/// Records a leadership confirmation requested at `asked_at`.
 template <link_connector Connector>
 void service_pool<Connector>::note_leadership(entry& from, time_point asked_at,
                                               const std::optional<sql::log_position>& position) {
--- a/src/cornellever/routing/service_pool_primary.ipp
+++ b/src/cornellever/routing/service_pool_primary.ipp
@@ -1,6 +1,7 @@
 #pragma once
 
-// Asking servers whether they lead and how far they are; looking for the primary.
+// Requests for leadership confirmations and log positions; the search for the
+// primary.
 
 namespace cornellever::routing {
 
@@ -24,7 +25,7 @@
     co_return held.primed;
 }
 
-/// Proves the lead anew on a connection that the caller marked busy.
+/// Confirms leadership again on a connection that the caller marked busy.
 template <link_connector Connector>
 asio::awaitable<void> service_pool<Connector>::refresh_leadership(slot& held) {
     (void)co_await confirm_leadership(held, boot_clock::now() + control_limit);
@@ -80,7 +81,7 @@
         ++at.opening;
         co_await open(at, {});
     }
-    // Opening may have taken a while: the server may be gone by now.
+    // The server may have been deregistered while the connection was opened.
     const auto again = m_entries.find(id);
     if (again == m_entries.end()) {
         co_return;
@@ -127,7 +128,7 @@
         note_failure(at, answer.error());
     }
     if (!m_used) {
-        // This proxy holds no connections to the service's servers.
+        // Without requests for the service, no connections to it are kept open.
         held->connection->close();
     }
     check_in(*held);
@@ -176,7 +177,7 @@
             close_surplus(*at, now);
         }
         if (m_account_traffic && !m_wait_queue.empty()) {
-            // An opening that failed is tried again.
+            // Retries connections that failed to open.
             serve_queue(*at);
         }
     }
@@ -208,8 +209,8 @@
     }
 }
 
-/// Asks a replica for its position on a connection that the caller marked
-/// busy, by a transaction that runs nothing: it takes no slot there.
+/// Polls a replica for its position on a connection that the caller marked busy.
+/// An empty transaction suffices and takes no execution slot there.
 template <link_connector Connector>
 asio::awaitable<void> service_pool<Connector>::query_position(slot& held) {
     std::vector<sql::command> batch;
@@ -239,7 +240,7 @@
         out.unreachable = at.unreachable();
         out.refused = at.refused_at > at.last_contact_at;
     } else if (const auto log_lost_entry = m_entries.find(m_log_lost_server); log_lost_entry != m_entries.end()) {
-        // It answers, and yet no primary does there.
+        // Reported as unreachable: the server answers, but not as a valid primary.
         out.id = m_log_lost_server;
         out.last_contact_at = log_lost_entry->second->leadership_valid_after;
         out.unreachable = true;
--- a/src/cornellever/routing/service_pool_queue.ipp
+++ b/src/cornellever/routing/service_pool_queue.ipp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The line of requests that wait for a connection, and what they may expect.
+// The wait queue and the expected waiting times of its requests.
 
 namespace cornellever::routing {
 
@@ -37,8 +37,8 @@
     next.timer.cancel();
 }
 
-/// Hands idle connections of a server to those that wait, as far as this
-/// proxy's share of the server goes.
+/// Grants idle connections of a server to queued requests, within this proxy's
+/// share of the server's concurrency.
 template <link_connector Connector>
 void service_pool<Connector>::serve_queue(entry& at) {
     const auto now = boot_clock::now();
@@ -55,9 +55,10 @@
     }
 }
 
-/// Another connection takes the place of one whose answer is overdue, for as
-/// long as that one is waited on: from the room that is left for the
-/// connections of dead processes, and no more than twice the usual number.
+/// Replaces connections whose answer is overdue until that answer arrives or times
+/// out. The replacements use the part of the server's connection limit that is
+/// reserved for connections of dead processes, and at most double the number of
+/// connections.
 template <link_connector Connector>
 void service_pool<Connector>::replace_overdue(entry& at, time_point now) {
     if (!at.mark_overdue(now)) {
@@ -81,7 +82,7 @@
     serve_queue(*held.server_entry);
 }
 
-/// The servers that could run a request now, by their place in `m_entries`.
+/// The servers eligible for a request, by their index in `m_entries`.
 template <link_connector Connector>
 server_set service_pool<Connector>::servers_for(const connection_request& request, time_point now) const {
     server_set out = 0;
@@ -100,8 +101,8 @@
     std::vector<server_capacity> out;
     out.reserve(m_entries.size());
     for (const auto& [id, at] : m_entries) {
-        // Where connections are opened for accounts, any but the first makes
-        // room for another within a handshake.
+        // With account connections, any idle one can be replaced by one of another
+        // account within the time of a handshake.
         const auto connections =
             m_account_traffic && !at->open_connections.empty() ? m_budget : at->open_connections.size();
         out.push_back({std::min(max_concurrency(*at), connections),
@@ -135,9 +136,9 @@
     return out;
 }
 
-/// A request that went before others makes their turns later: those that are
-/// not expected to get theirs in time any more are told so now, while their
-/// callers can still use the time.
+/// Rejects queued requests that are no longer expected to be served in time
+/// because `by` was queued ahead of them, so that their callers can still use the
+/// remaining time.
 template <link_connector Connector>
 void service_pool<Connector>::reject_overtaken(const waiter& by) {
     const auto& items = m_wait_queue.items();
