--- a/src/cornellever/sql/reply.hpp
+++ b/src/cornellever/sql/reply.hpp
@@ -10,7 +10,7 @@
 
 namespace cornellever::sql {
 
-/// Why a statement had no success. See `promises_no_effect`.
+/// Why a statement failed. See `server_did_not_run`.
 enum class refusal {
     overloaded,
     aborted,
@@ -24,42 +24,44 @@
     malformed,
     no_such_database,
     no_such_prepared_statement,
-    /// The caller's key stands for no account.
+    /// The caller's key belongs to no account.
     unknown_key,
 };
 
-/// Where a session or connection stands with regard to transactions.
+/// The transaction state of a session or connection.
 enum class transaction_state { idle, open, failed };
 
-/// The error of a statement, with a text for people.
+/// The error of a statement with a human-readable text.
 struct statement_error {
     refusal why{refusal::failed};
     std::string text{};
 };
 
-/// The whole answer to one statement.
+/// The complete answer to one statement.
 struct reply {
     std::vector<std::string> rows{};
-    /// The server's proof that it ran the statement; empty when the proxy
-    /// answered by itself.
+    /// The server's signature, which proves that it ran the statement; empty when
+    /// the proxy answered itself.
     std::string signature{};
     std::optional<statement_error> error{};
     transaction_state state{transaction_state::idle};
+    /// The server's log position after the statement.
     std::optional<log_position> position{};
 
     [[nodiscard]] bool ok() const noexcept { return !error; }
 
-    /// Why it had no success; `failed` for an answer that had.
+    /// Why the statement failed; `refusal::failed` if it succeeded.
     [[nodiscard]] refusal why() const noexcept { return error ? error->why : refusal::failed; }
 
-    /// The error's text; empty for an answer that had success.
+    /// The text of the error; empty if the statement succeeded.
     [[nodiscard]] std::string error_text() const { return error ? error->text : std::string{}; }
 };
 
-/// The lower-case name of a refusal, for logs and metrics.
+/// The lower-case name of a refusal as used in logs and metrics.
 [[nodiscard]] std::string_view to_string(refusal why) noexcept;
 
-/// True when a server that answers so has not run the statement.
+/// Whether this refusal, sent by a server, guarantees that it didn't run the
+/// statement.
 [[nodiscard]] bool server_did_not_run(refusal why) noexcept;
 
 } // namespace cornellever::sql
--- a/src/cornellever/sql/server_status.hpp
+++ b/src/cornellever/sql/server_status.hpp
@@ -4,12 +4,12 @@
 
 namespace cornellever::sql {
 
-/// What a backend server says of itself when asked.
+/// A backend server's answer to `statement_kind::status`.
 struct server_status {
     bool is_primary{false};
-    /// The newest term that it knows.
+    /// The newest term that it knows of.
     std::uint64_t term{0};
-    /// The end of the log that it has received, applied or not.
+    /// The last position that it has received, applied or not.
     log_position received;
 };
 
--- a/src/cornellever/sql/statement.hpp
+++ b/src/cornellever/sql/statement.hpp
@@ -7,11 +7,11 @@
 
 namespace cornellever::sql {
 
-/// What a statement touches.
+/// Whether a statement only reads or also writes.
 enum class access { read, write };
 
-/// The statements of the protocol. `reset`, `status` and `step_down` are sent
-/// by the proxy only, never accepted from a caller.
+/// The statements of the protocol. `reset`, `status` and `step_down` are only sent
+/// by the proxy and never accepted from a caller.
 enum class statement_kind {
     begin,
     begin_read_only,
@@ -28,35 +28,35 @@
     step_down,
 };
 
-/// One decoded statement. Which fields hold something depends on the kind.
+/// One decoded statement. Which fields are used depends on the kind.
 struct statement {
     statement_kind kind{statement_kind::begin};
-    /// The value's name (`set`) or the prepared statement's (`prepare`,
+    /// The name of the value (`set`) or of the prepared statement (`prepare`,
     /// `execute`, `deallocate`).
     std::string name{};
-    /// What a prepared statement touches (`prepare`).
+    /// The access mode of a prepared statement (`prepare`).
     access access_mode{access::read};
-    /// The value (`set`), the shape (`prepare`), or the operands exactly as
-    /// the caller wrote them (`read`, `write`, `execute`).
+    /// The value (`set`), the statement's shape (`prepare`), or the operands exactly
+    /// as the caller wrote them (`read`, `write`, `execute`).
     std::string text{};
 };
 
-/// A statement of a caller with the id the caller gave it.
+/// A caller's statement with the id that the caller assigned.
 struct request {
     std::string id;
     statement what;
 };
 
-/// A statement on its way to a backend server.
+/// A statement to be sent to a backend server.
 struct command {
-    /// The caller's id; empty for statements that the proxy issues itself.
+    /// The id of the caller's request; empty for the proxy's own statements.
     std::string request_id{};
     statement what{};
-    /// The server refuses (`refusal::behind`) unless its log holds this.
+    /// The server refuses with `refusal::behind` unless its log holds this position.
     std::optional<log_position> after{};
 };
 
-/// A command of the proxy's own without operands.
+/// A statement without operands that the proxy issues itself.
 [[nodiscard]] inline command proxy_command(statement_kind kind) {
     return command{.what = statement{.kind = kind}};
 }
