--- a/tests/unit/fake_link.hpp
+++ b/tests/unit/fake_link.hpp
@@ -17,41 +17,41 @@
 
 namespace cornellever::test {
 
-/// A statement as a fake server met it.
+/// A statement as received by a fake server.
 struct received_statement {
     int connection{0};
-    /// Counts the batches of the connection: statements of one batch were sent
-    /// without waiting for an answer.
+    /// The number of the batch on its connection. The statements of one batch are
+    /// sent without waiting for answers in between.
     int batch{0};
     std::string id;
     sql::statement_kind kind{sql::statement_kind::begin};
     std::string text;
     bool in_transaction{false};
-    /// For whom the connection was opened.
+    /// The account that the connection was opened for.
     std::string account{};
     std::map<std::string, std::string, std::less<>> values;
 };
 
-/// A backend server in memory, with the failures that tests bring about.
+/// An in-memory backend server with fault injection.
 struct fake_server {
     bool is_primary{false};
     sql::log_position position{1, 10};
-    /// Opening a connection is refused, or not answered.
+    /// Opening a connection fails this way.
     std::optional<routing::connect_failure> connect_fails{};
-    /// Connections that are open break at their next statement, once.
+    /// The next connection to send a statement breaks, once.
     bool reset_connections{false};
-    /// Statements are not answered from now on, though they run.
+    /// Statements run but are not answered.
     bool silent{false};
-    /// How long a statement whose answer is lost is waited for.
+    /// How long the proxy waits for a lost answer at most.
     std::chrono::milliseconds silent_for{20};
-    /// The answers to so many callers' statements are lost, though they run.
+    /// So many of callers' next statements run, but their answers are lost.
     int lose_answers{0};
-    /// So many callers' statements are refused.
+    /// So many of callers' next statements are refused.
     int refuse{0};
     sql::refusal refuse_with{sql::refusal::overloaded};
     std::vector<received_statement> received_statements{};
     int connections{0};
-    /// Connections open now, and the most there were since a test set it back.
+    /// Open connections, and their maximum since a test last reset it.
     int open{0};
     int most_open{0};
 
@@ -67,7 +67,7 @@
     }
 };
 
-/// A connection to a fake server (routing::backend_link).
+/// A connection to a fake server (models routing::backend_link).
 class fake_link {
 public:
     explicit fake_link(fake_server& server, std::string account = {})
@@ -210,20 +210,20 @@
     bool m_lost{false};
 };
 
-/// A proxy that owns connections.
+/// A connection owner that sessions are relayed to.
 struct fake_owner {
     std::vector<std::string> asked{};
-    /// It is gone after so many answers.
+    /// It fails after this many answers.
     int answers{1000};
-    /// It refuses what is passed on to it.
+    /// It refuses statements that are forwarded without waiting for an answer.
     bool refuses_forwarded{false};
-    /// The last commits that sessions were opened with.
+    /// The last commit that each session was opened with.
     std::vector<std::optional<sql::log_position>> opened_after{};
-    /// The position that its answers name.
+    /// The log position in its answers.
     std::optional<sql::log_position> position{};
 };
 
-/// A session at a fake owner (session::relayed_session).
+/// A session at a fake owner (models session::relayed_session).
 class fake_relay {
 public:
     explicit fake_relay(fake_owner& owner) : m_owner{owner} {}
@@ -263,12 +263,12 @@
     bool m_open{true};
 };
 
-/// Opens connections to fake servers by id (routing::link_connector).
+/// Opens connections to fake servers by id (models routing::link_connector).
 struct fake_connector {
     using link = fake_link;
     using relay = fake_relay;
 
-    /// Sessions at other proxies by their port: what they answer.
+    /// Connection owners by port.
     std::map<unsigned short, fake_owner> owners;
 
     asio::awaitable<std::unique_ptr<fake_relay>> open_relay(tcp::endpoint owner, session::session_opening opening,
@@ -295,8 +295,8 @@
     static std::optional<sql::server_status> status_of(const sql::reply&) { return std::nullopt; }
 };
 
-/// A registry of one service: a primary `p` here, replicas `r1` here and `r2`
-/// in another data centre.
+/// A registry of one service: the primary `p` and the replica `r1` in this data
+/// centre, the replica `r2` in another one.
 [[nodiscard]] inline routing::registry three_servers() {
     routing::registry out;
     out.version = 1;
@@ -311,8 +311,8 @@
     return out;
 }
 
-/// Databases `strict` (primary), `fresh` (bounded staleness) and `own`
-/// (read your writes) of that service.
+/// The databases `strict` (primary), `fresh` (bounded staleness) and `own` (read
+/// your writes) of the service of `three_servers`.
 [[nodiscard]] inline routing::configuration three_databases(std::uint64_t version = 1) {
     using namespace std::chrono_literals;
     routing::configuration out;
