--- a/tests/unit/read_floor.cpp
+++ b/tests/unit/read_floor.cpp
@@ -18,7 +18,7 @@
 
 BOOST_AUTO_TEST_SUITE(read_floor)
 
-BOOST_AUTO_TEST_CASE(the_oldest_sample_recent_enough_is_the_floor) {
+BOOST_AUTO_TEST_CASE(the_floor_is_the_oldest_sample_within_the_freshness_bound) {
     routing::read_floor floor;
     floor.add(sample(0ms, {1, 10}));
     floor.add(sample(1000ms, {1, 20}));
@@ -27,27 +27,27 @@
     BOOST_TEST((floor.floor(start + 2600ms, 1500ms, std::nullopt) == log_position{1, 30}));
 }
 
-BOOST_AUTO_TEST_CASE(a_session_sees_its_own_commit) {
+BOOST_AUTO_TEST_CASE(the_floor_includes_the_sessions_own_commit) {
     routing::read_floor floor;
     floor.add(sample(0ms, {1, 10}));
     BOOST_TEST((floor.floor(start + 100ms, 1500ms, log_position{1, 12}) == log_position{1, 12}));
 }
 
-// No proxy could reach the primary for two seconds. Whatever a replica holds
-// may be older than the read allows, and nobody can tell.
-BOOST_AUTO_TEST_CASE(without_a_recent_sample_nothing_is_promised) {
+// Guards against reads beyond their freshness bound while no proxy reaches the
+// primary: it is unknown how far replicas are behind.
+BOOST_AUTO_TEST_CASE(without_a_recent_sample_there_is_no_floor) {
     routing::read_floor floor;
     BOOST_TEST(!floor.floor(start, 1500ms, std::nullopt));
     floor.add(sample(0ms, {1, 10}));
     BOOST_TEST(!floor.floor(start + 1501ms, 1500ms, log_position{1, 12}));
 }
 
-// A caller reads an old record although it saw the newer one before. A replica
-// that received nothing for a while stood at number 13 when another one was
-// promoted. It counted itself to the new term at once, and a floor that named
-// the new term without the number let the read pass. A floor names the entry
-// that a log has to hold: number and term as they were acknowledged.
-BOOST_AUTO_TEST_CASE(a_new_term_keeps_the_number_that_a_log_needs) {
+// Guards against a caller that reads a record older than one it has seen. A replica
+// that had received nothing for a while was at number 13 when another one was
+// promoted. It adopted the new term at once, and a floor with the new term but
+// without the number let the read pass. A floor consists of the number and the
+// term as they were acknowledged.
+BOOST_AUTO_TEST_CASE(after_a_promotion_the_floor_keeps_its_number) {
     routing::read_floor floor;
     floor.add(sample(0ms, {1, 66}));
     floor.add(sample(1000ms, {2, 70}));
@@ -55,17 +55,17 @@
     BOOST_TEST((floor.floor(start + 1200ms, 1500ms, log_position{1, 68}) == log_position{1, 68}));
 }
 
-// After each promotion all reads are refused by the replicas for 2.5 s, and
-// crowd the new primary. It stood at 1.435 when it was promoted and reports
-// 2.435, but entry 435 is of term 1: no log holds position 2.435, nor 2.409,
-// however much it has received.
-BOOST_AUTO_TEST_CASE(a_floor_names_an_entry_that_logs_hold) {
+// Guards against replicas that refuse all reads for 2.5 s after a promotion, which
+// overloads the new primary. It was at 1.435 when it was promoted and reports
+// 2.435, but entry 435 is of term 1: no log holds position 2.435 or 2.409, however
+// much it has received.
+BOOST_AUTO_TEST_CASE(the_floor_is_a_position_that_logs_hold) {
     routing::read_floor floor;
     floor.add(sample(0ms, {1, 409}));
     floor.add(sample(1400ms, {2, 435}));
-    // The old term's position was acknowledged as such, and replicas hold it.
+    // The position of the old term was acknowledged, and replicas hold it.
     BOOST_TEST((floor.floor(start + 1500ms, 1500ms, std::nullopt) == log_position{1, 409}));
-    // The first commit of the new term shows which positions exist.
+    // The first commit of the new term shows from which number on its positions exist.
     floor.add(sample(1500ms, {2, 437}));
     floor.add(sample(1600ms, {2, 440}));
     BOOST_TEST((floor.floor(start + 1700ms, 500ms, std::nullopt) == log_position{2, 437}));
@@ -73,10 +73,10 @@
     BOOST_TEST((floor.floor(start + 2800ms, 1500ms, log_position{1, 430}) == log_position{2, 437}));
 }
 
-// A floor of the old term may have been rolled back, which shows only later:
-// the new primary had 60 entries of it and has made 9 since. As soon as
-// replicas hold the new term's entries, the floor is one of these.
-BOOST_AUTO_TEST_CASE(a_floor_of_the_old_term_is_left_once_replicas_have_the_new) {
+// Guards against a floor of the old term that was rolled back, which shows only
+// later: the new primary had 60 entries of that term and has written 9 since. Once
+// replicas hold entries of the new term, the floor is one of these.
+BOOST_AUTO_TEST_CASE(a_floor_of_the_old_term_is_replaced_once_replicas_have_the_new_term) {
     routing::read_floor floor;
     floor.add(sample(0ms, {1, 66}));
     floor.add(sample(1000ms, {2, 68}));
@@ -85,24 +85,25 @@
     BOOST_TEST((floor.floor(start + 1400ms, 1500ms, std::nullopt) == log_position{2, 69}));
 }
 
-// A session does not see what it wrote: it made two commits, of which the new
-// primary had received the first only. The second is owed to nobody, and with
-// it the floor of the first was dropped.
-BOOST_AUTO_TEST_CASE(a_commit_before_one_that_was_rolled_back_is_seen) {
+// Guards against a session that doesn't see its own write. It made two commits, of
+// which the new primary had received only the first. The second is rolled back,
+// which must not drop the floor of the first.
+BOOST_AUTO_TEST_CASE(a_commit_before_one_that_was_rolled_back_stays_in_the_floor) {
     routing::read_floor floor;
     floor.add(sample(0ms, {1, 143}));
     floor.add(sample(2400ms, {1, 401}));
     floor.add(sample(2500ms, {2, 402}));
-    // Whether 1.401 was the session's own too nobody remembers: the primary
-    // alone is known to hold it.
+    // It is unknown whether 1.401 was the session's own commit too, and only the
+    // primary is known to hold it.
     BOOST_TEST(!floor.floor(start + 2500ms, 2500ms, log_position{1, 404}));
     BOOST_TEST((floor.floor(start + 2500ms, 2500ms, log_position{1, 401}) == log_position{1, 401}));
     floor.add(sample(2550ms, {2, 403}));
     BOOST_TEST((floor.floor(start + 2600ms, 2500ms, log_position{1, 404}) == log_position{2, 403}));
 }
 
-// Nothing is written for long after a promotion, so that no position of the
-// new term exists; the newest of the old one is enough as long as it is recent.
+// Guards against a missing floor when nothing is written for a while after a
+// promotion, so that no position of the new term exists. The newest position of the
+// old term is sufficient as long as it is recent.
 BOOST_AUTO_TEST_CASE(an_acknowledged_commit_proves_its_entry) {
     routing::read_floor floor;
     floor.add(sample(0ms, {1, 66}));
@@ -113,10 +114,10 @@
     BOOST_TEST((floor.floor(start + 1400ms, 1500ms, std::nullopt) == log_position{2, 67}));
 }
 
-// A session's reads are refused by every server for seconds. Its last commit
-// was rolled back when another replica was promoted, so that no log reaches
-// its number until that many others have been made.
-BOOST_AUTO_TEST_CASE(a_commit_that_was_rolled_back_is_not_waited_for) {
+// Guards against a session whose reads every server refuses for seconds: its last
+// commit was rolled back in a promotion, and no log reaches its number until as
+// many new commits were made.
+BOOST_AUTO_TEST_CASE(a_commit_that_was_rolled_back_is_not_part_of_the_floor) {
     routing::read_floor floor;
     floor.add(sample(0ms, {1, 66}));
     floor.add(sample(1000ms, {2, 60}));
--- a/tests/unit/replica_progress.cpp
+++ b/tests/unit/replica_progress.cpp
@@ -23,30 +23,30 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(progress)
+BOOST_AUTO_TEST_SUITE(replica_progress_estimates)
 
-BOOST_AUTO_TEST_CASE(nothing_is_expected_of_a_replica_that_named_no_position) {
+BOOST_AUTO_TEST_CASE(a_replica_without_a_known_position_is_not_excluded) {
     const auto primary = busy_primary(3);
     const replica_progress unknown;
     BOOST_TEST(!unknown.lacks({1, 120}, start + 3s, primary));
 }
 
-// Replicas are 2 s behind. Every read of data that may be 1.5 s old was sent to
-// both of them, sixteen times a second each, and refused, before it went to the
-// primary: 13 % of what servers were sent.
-BOOST_AUTO_TEST_CASE(a_replica_that_lags_is_left_out_until_it_is_expected_to_have_the_floor) {
+// Guards against reads that are refused by replicas before they go to the primary.
+// With replicas 2 s behind and a freshness bound of 1.5 s, these attempts were 13 %
+// of the statements sent to servers, sixteen a second to each replica.
+BOOST_AUTO_TEST_CASE(a_lagging_replica_is_excluded_until_it_is_expected_to_reach_the_floor) {
     const auto primary = busy_primary(4);
     replica_progress lagging;
     lagging.note({1, 119}, start + 4s, primary);
     BOOST_TEST((lagging.lag() == 2s));
     BOOST_TEST(lagging.lacks({1, 125}, start + 4s, primary));
     BOOST_TEST(!lagging.lacks({1, 119}, start + 4s, primary));
-    // The primary was at 125 at 2.5 s; the replica is there 2 s later.
+    // The primary reached 125 at 2.5 s; the replica reaches it 2 s later.
     BOOST_TEST(lagging.lacks({1, 125}, start + 4400ms, primary));
     BOOST_TEST(!lagging.lacks({1, 125}, start + 4500ms, primary));
 }
 
-BOOST_AUTO_TEST_CASE(a_replica_that_has_caught_up_serves_again_at_once) {
+BOOST_AUTO_TEST_CASE(a_replica_that_has_caught_up_is_used_at_once) {
     const auto primary = busy_primary(4);
     replica_progress replica;
     replica.note({1, 119}, start + 4s, primary);
@@ -55,10 +55,10 @@
     BOOST_TEST((replica.lag() == 1s));
 }
 
-// A replica that is 20 ms behind gets the read that follows a session's own
-// commit as soon as it is likely to have it, and not only when some other read
-// has shown that.
-BOOST_AUTO_TEST_CASE(an_ordinary_lag_is_waited_out_for_ones_own_commit) {
+// Guards against a read after the session's own commit that avoids a replica 20 ms
+// behind until another read has shown its position: it may go there as soon as the
+// replica is expected to have the commit.
+BOOST_AUTO_TEST_CASE(a_replica_with_normal_lag_is_used_soon_after_the_sessions_own_commit) {
     auto primary = busy_primary(1);
     replica_progress replica;
     replica.note({1, 109}, start + 1020ms, primary);
@@ -67,7 +67,7 @@
     BOOST_TEST(!replica.lacks({1, 111}, start + 1120ms, primary));
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_that_was_overtaken_changes_nothing) {
+BOOST_AUTO_TEST_CASE(an_outdated_answer_is_ignored) {
     const auto primary = busy_primary(4);
     replica_progress replica;
     replica.note({1, 140}, start + 4100ms, primary);
@@ -75,10 +75,10 @@
     BOOST_TEST(!replica.lacks({1, 140}, start + 4100ms, primary));
 }
 
-// As it shows at the servers: both replicas lag, reads go to the primary
-// without trying them, and return once one of them has caught up, which the
-// proxy finds out by itself.
-BOOST_AUTO_TEST_CASE(reads_pass_lagging_replicas_by_and_return_to_them) {
+// The same through the whole proxy: while both replicas lag, reads go to the primary
+// without an attempt at them. They return once the proxy has polled that a replica
+// caught up.
+BOOST_AUTO_TEST_CASE(reads_skip_lagging_replicas_until_they_have_caught_up) {
     proxy_in_memory proxy;
     auto& pool = proxy.host.pool_for("stock");
     caller_script caller{.events = {opening("own")}};
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-placement_candidate candidate(double typical_ms, bool same, bool primary = false, std::size_t idle = 1,
+placement_candidate candidate(double statement_time_ms, bool same, bool primary = false, std::size_t idle = 1,
                               std::size_t in_flight = 0) {
     return {.same_data_center = same,
             .primary = primary,
             .in_flight = in_flight,
             .idle = idle,
-            .statement_time = std::chrono::duration<double, std::milli>{typical_ms}};
+            .statement_time = std::chrono::duration<double, std::milli>{statement_time_ms}};
 }
 
 std::vector<session::proxy_place> make_proxies(int count) {
@@ -43,21 +43,21 @@
 
 BOOST_AUTO_TEST_SUITE(placing)
 
-BOOST_AUTO_TEST_CASE(the_own_data_center_comes_first_while_it_is_no_slower) {
+BOOST_AUTO_TEST_CASE(the_local_data_center_is_preferred_unless_it_is_slower) {
     const std::vector<placement_candidate> servers{candidate(10, false), candidate(12, true)};
     BOOST_TEST(*routing::place_read(servers, false) == 1U);
     const std::vector<placement_candidate> crowded{candidate(10, false), candidate(40, true)};
     BOOST_TEST(*routing::place_read(crowded, false) == 0U);
 }
 
-// One server takes five times as long as the others; reads that go on being
-// shared out evenly miss their latency there.
+// Guards against reads that miss their target latency because they are distributed
+// evenly although one server is five times slower than the others.
 BOOST_AUTO_TEST_CASE(a_slow_server_gets_fewer_reads) {
     const std::vector<placement_candidate> servers{candidate(50, true), candidate(10, false, true)};
     BOOST_TEST(*routing::place_read(servers, false) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(the_primary_keeps_a_connection_for_what_only_it_can_run) {
+BOOST_AUTO_TEST_CASE(one_connection_to_the_primary_is_reserved_for_writes) {
     const std::vector<placement_candidate> servers{candidate(10, true, true, 1)};
     BOOST_TEST(!routing::place_read(servers, true));
     BOOST_TEST(routing::place_read(servers, false).has_value());
@@ -68,7 +68,7 @@
     BOOST_TEST(*routing::place_read(servers, false) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(all_proxies_together_stay_below_a_servers_limit) {
+BOOST_AUTO_TEST_CASE(all_proxies_together_stay_below_the_connection_limit_of_a_server) {
     for (const std::size_t limit : {16U, 22U, 30U, 98U}) {
         constexpr std::size_t once_kept_back = 2;
         for (std::size_t proxies = 1; proxies <= limit - once_kept_back; ++proxies) {
@@ -79,9 +79,9 @@
     BOOST_TEST(routing::connections_per_proxy(0, 3) == 1U);
 }
 
-// After a power cut a third of the proxies serve nobody for 3 s: their servers
-// still count the connections of the processes that died, and refuse theirs.
-BOOST_AUTO_TEST_CASE(proxies_that_all_start_again_find_room_beside_the_dead) {
+// Guards against proxies that can't reconnect for 3 s after a power failure because
+// servers still count the connections of their previous processes.
+BOOST_AUTO_TEST_CASE(all_proxies_can_reconnect_beside_the_connections_of_their_dead_processes) {
     for (const std::size_t limit : {16U, 22U, 30U, 40U, 98U}) {
         for (std::size_t proxies = 1; proxies <= limit / 2; ++proxies) {
             BOOST_TEST(2 * proxies * routing::connections_per_proxy(limit, proxies) <= limit);
@@ -91,7 +91,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_request_whose_turn_comes_too_late_is_refused_at_once) {
+BOOST_AUTO_TEST_CASE(a_request_that_would_be_served_too_late_is_refused_at_once) {
     const routing::load_view load{.requests_ahead = 60, .concurrency = 2, .statement_time = 10ms};
     const auto refused = routing::admit(load, {.left = 800ms, .target = 200ms});
     BOOST_TEST(!refused.admitted);
@@ -102,20 +102,20 @@
     BOOST_TEST(!routing::admit(load, {.left = 15ms, .target = 400ms}).admitted);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_waits_for_a_new_primary_while_it_could_still_run) {
+BOOST_AUTO_TEST_CASE(a_request_waits_for_a_new_primary_while_it_has_time_to_run) {
     const auto admitted = routing::admit_without_primary({.left = 800ms, .target = 100ms});
     BOOST_TEST(admitted.admitted);
     BOOST_TEST((admitted.wait == 700ms));
     BOOST_TEST(!routing::admit_without_primary({.left = 90ms, .target = 100ms}).admitted);
 }
 
-// Two of a service's servers are gone for good and the third can take a third
-// of what callers ask. Plays one second of that load in steps of a
-// millisecond: a request takes 30 ms on one of 2 connections, 150 arrive in a
-// second, callers aim at 200 ms and give up after 800 ms. With a line as long
-// as the timeout allows, those who got their turn were begun at an age of
-// 750 ms and more, and none was answered in time.
-BOOST_AUTO_TEST_CASE(under_three_times_the_load_those_who_are_served_are_served_in_time) {
+// Guards against overload in which every answer is late. Two of three servers have
+// failed, and the third can handle a third of the load. Simulates this in steps of
+// a millisecond: a request takes 30 ms on one of 2 connections, 150 arrive in a
+// second, the target latency is 200 ms and the timeout 800 ms. With a wait queue
+// as long as the timeout allows, requests were started at an age of 750 ms and
+// more, and none was answered in time.
+BOOST_AUTO_TEST_CASE(under_threefold_overload_admitted_requests_are_answered_in_time) {
     constexpr int statement_ms = 30;
     constexpr int connection_count = 2;
     std::vector<int> free_at(connection_count, 0);
@@ -144,17 +144,17 @@
     }
     const int could_be_served = 3000 / statement_ms * connection_count;
     BOOST_TEST(within_target + late >= could_be_served - 20);
-    BOOST_TEST(within_target >= could_be_served * 8 / 10, within_target << " in aim, " << late << " late");
+    BOOST_TEST(within_target >= could_be_served * 8 / 10, within_target << " in time, " << late << " late");
     BOOST_TEST(refused_early > 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_got_its_turn_too_late_is_not_begun) {
+BOOST_AUTO_TEST_CASE(a_request_without_time_to_run_is_not_started) {
     const routing::load_view load{.requests_ahead = 0, .concurrency = 2, .statement_time = 30ms};
     BOOST_TEST(!routing::has_time_to_run(load, 20ms));
     BOOST_TEST(routing::has_time_to_run(load, 50ms));
 }
 
-BOOST_AUTO_TEST_CASE(the_line_is_served_by_priority_and_then_by_time_left) {
+BOOST_AUTO_TEST_CASE(the_wait_queue_is_ordered_by_priority_and_then_by_deadline) {
     const boot_clock::time_point start{};
     queued late{2, start + 9s};
     queued soon{2, start + 1s};
@@ -175,9 +175,9 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(replaying_a_session)
+BOOST_AUTO_TEST_SUITE(session_replay)
 
-BOOST_AUTO_TEST_CASE(what_the_connection_holds_already_is_not_sent) {
+BOOST_AUTO_TEST_CASE(values_that_the_connection_already_holds_are_not_sent) {
     session::session_state state{.id = 1, .values = {{"a", "1"}, {"b", "2"}}};
     session::connection_memory memory;
     BOOST_TEST(session::plan_replay(state, memory, nullptr).size() == 2U);
@@ -187,7 +187,7 @@
     BOOST_TEST(session::plan_replay(state, memory, nullptr).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(values_of_another_session_are_cleared_with_its_prepared_statements) {
+BOOST_AUTO_TEST_CASE(values_of_another_session_are_reset_with_its_prepared_statements) {
     session::session_state first{.id = 1, .values = {{"a", "1"}}};
     session::session_state second{.id = 2, .values = {{"b", "1"}}};
     const session::prepared_statement shape{sql::access::read, "q1"};
@@ -199,9 +199,9 @@
     BOOST_TEST((plan[2].kind == sql::statement_kind::prepare));
 }
 
-// Two callers prepare different statements under one name; the second runs
-// what the first prepared.
-BOOST_AUTO_TEST_CASE(a_prepared_statement_is_named_by_what_it_runs) {
+// Guards against callers that prepare different statements under the same name and
+// run each other's.
+BOOST_AUTO_TEST_CASE(a_prepared_statement_is_named_after_its_access_mode_and_shape) {
     const session::prepared_statement reads{sql::access::read, "q1"};
     const session::prepared_statement writes{sql::access::write, "q1"};
     BOOST_TEST(session::prepared_name(reads) != session::prepared_name(writes));
@@ -209,9 +209,9 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(stopping)
+BOOST_AUTO_TEST_SUITE(planned_stops)
 
-BOOST_AUTO_TEST_CASE(sessions_are_closed_once_the_balancer_has_noticed) {
+BOOST_AUTO_TEST_CASE(sessions_are_closed_after_the_load_balancer_has_noticed_the_stop) {
     const boot_clock::time_point begun{1h};
     const session::planned_stop stop{begun, 6s};
     BOOST_TEST(!stop.at(begun + 2s, 5).close_answered);
@@ -232,7 +232,7 @@
 
 BOOST_AUTO_TEST_SUITE(settings_of_serve)
 
-BOOST_AUTO_TEST_CASE(every_finding_is_reported_with_its_line) {
+BOOST_AUTO_TEST_CASE(each_settings_error_is_reported_with_its_line) {
     session::serve_settings out;
     const auto findings = session::read_serve_settings("[serve]\nname = a\ncallers = nowhere\nname = b\n"
                                                        "colour = red\ngrace_s = 0\n[other]\nname = c\n",
