--- a/src/cornellever/routing/admission.cpp
+++ b/src/cornellever/routing/admission.cpp
@@ -13,8 +13,8 @@
 /// execution slots are contended by all requests that waited for it.
 constexpr std::chrono::milliseconds run_reserve_after_promotion{100};
 
-/// A promotion takes 1.2 s from the request to it; on average half of that is
-/// left when a request arrives.
+/// A promotion takes 1.2 s from its start; on average half of that is left when a
+/// request arrives.
 constexpr std::chrono::milliseconds retry_after_without_primary{300};
 
 /// Time reserved for running the statement, as a multiple of the average
--- a/src/cornellever/routing/connection_budget.hpp
+++ b/src/cornellever/routing/connection_budget.hpp
@@ -34,7 +34,8 @@
 /// with `slots` execution slots; at least one. Together the proxies send twice
 /// what the server can run, so that no slot idles while a statement is in
 /// transit. Statements beyond that would queue at the server, unordered and
-/// without admission control, and delay requests with a short target latency.
+/// without admission control, so that a request with a short target latency could
+/// not be admitted beside others.
 [[nodiscard]] constexpr std::size_t statements_per_proxy(std::size_t slots, std::size_t proxies) noexcept {
     return std::max<std::size_t>(1, 2 * slots / std::max<std::size_t>(1, proxies));
 }
