--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -30,12 +30,12 @@
         }
         primary_report report{.service = name,
                               .primary = observed.id,
-                              .leadership_confirmed_age = age(observed.confirmed_at),
-                              .last_answer_age = age(observed.heard_at),
+                              .leadership_confirmed_age = age(observed.leadership_confirmed_at),
+                              .last_answer_age = age(observed.last_contact_at),
                               .unreachable = observed.unreachable,
                               .refused = observed.refused,
                               .log_lost = observed.log_lost,
-                              .furthest = observed.furthest};
+                              .highest_position = observed.highest_position};
         if (what == peer_message::kind::answer && latest.sample) {
             report.sample = aged_sample{age(latest.sample->asked_at), latest.sample->position};
         }
@@ -189,11 +189,11 @@
     for (const auto& item : message.primaries) {
         peer_observation observed{.service = item.service,
                                   .primary = item.unreachable ? std::string{} : item.primary,
-                                  .confirmed_at = ages_as_of - item.leadership_confirmed_age,
+                                  .leadership_confirmed_at = ages_as_of - item.leadership_confirmed_age,
                                   .peer = peer,
-                                  .heard_at = ages_as_of - item.last_answer_age,
+                                  .last_contact_at = ages_as_of - item.last_answer_age,
                                   .reported = item.primary,
-                                  .furthest = item.furthest};
+                                  .highest_position = item.highest_position};
         if (item.sample) {
             observed.sample = routing::freshness_sample{ages_as_of - item.sample->age, item.sample->position};
         }
--- a/src/cornellever/cluster/control_primaries.ipp
+++ b/src/cornellever/cluster/control_primaries.ipp
@@ -43,7 +43,8 @@
     }
     if (own_observation != nullptr && own_observation->primary.id == state.primary) {
         const auto& observed = own_observation->primary;
-        evidence.own = primary_view{age(observed.heard_at), observed.unreachable, observed.refused, observed.log_lost};
+        evidence.own =
+            primary_view{age(observed.last_contact_at), observed.unreachable, observed.refused, observed.log_lost};
     }
     for (const auto& [report, ages_as_of] : peer_reports) {
         if (report->primary == state.primary) {
@@ -127,7 +128,7 @@
                       " peers=" + std::to_string(views.size()) +
                       (own_observation != nullptr && own_observation->primary.log_lost ? " log_lost=1" : "") +
                       (own_observation != nullptr
-                           ? " heard_ms=" + std::to_string(to_ms(now - own_observation->primary.heard_at))
+                           ? " heard_ms=" + std::to_string(to_ms(now - own_observation->primary.last_contact_at))
                            : ""));
     }
     if (verdict == primary_verdict::fine || now - state.judged_since < promotion_delay(service)) {
--- a/src/cornellever/cluster/peer_message.hpp
+++ b/src/cornellever/cluster/peer_message.hpp
@@ -34,7 +34,7 @@
     std::optional<aged_sample> sample{};
     /// The highest log position that it is known to have reported as the primary. A proxy that has
     /// just started needs it to detect that the log got shorter.
-    std::optional<sql::log_position> furthest{};
+    std::optional<sql::log_position> highest_position{};
 };
 
 /// A proxy that the sender knows to be alive, and how long ago it last was.
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -32,7 +32,7 @@
     /// A report for each registered server except the second argument's.
     { servers.query_replicas(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
     /// Whether a server confirms within `timeout` that it is the primary.
-    { servers.leads_now(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
+    { servers.is_primary_now(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
     /// Waits up to `timeout` for a server to become the primary; returns whether it did.
     { servers.await_leadership(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
 };
@@ -189,7 +189,7 @@
         if (current.why != primary_verdict::lost || current.old.empty()) {
             co_return "gone";
         }
-        const bool confirmed = co_await m_servers.leads_now(current.service, current.old, recheck_timeout);
+        const bool confirmed = co_await m_servers.is_primary_now(current.service, current.old, recheck_timeout);
         co_return confirmed ? "leads_still" : "gone";
     }
 
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -20,7 +20,7 @@
 /// This proxy's observation of one service.
 struct service_observation {
     std::string service;
-    routing::primary_sight primary;
+    routing::primary_observation primary;
     std::optional<routing::freshness_sample> sample;
 };
 
@@ -29,15 +29,15 @@
     std::string service;
     /// Empty if the peer does not reach it.
     std::string primary;
-    boot_clock::time_point confirmed_at;
+    boot_clock::time_point leadership_confirmed_at;
     std::optional<routing::freshness_sample> sample;
     /// The peer, and when the primary last answered it.
     session::proxy_place peer;
-    boot_clock::time_point heard_at;
+    boot_clock::time_point last_contact_at;
     /// The server that the peer reports on, and the highest log position that it is known to have
     /// reported as the primary.
     std::string reported;
-    std::optional<sql::log_position> furthest;
+    std::optional<sql::log_position> highest_position;
 };
 
 /// The control plane's access to the traffic side: every call runs on the traffic thread, and its
@@ -90,7 +90,7 @@
                               asio::use_awaitable);
     }
 
-    asio::awaitable<bool> leads_now(std::string service, std::string id, std::chrono::milliseconds timeout) {
+    asio::awaitable<bool> is_primary_now(std::string service, std::string id, std::chrono::milliseconds timeout) {
         return asio::co_spawn(m_executor, confirm_primary(std::move(service), std::move(id), timeout),
                               asio::use_awaitable);
     }
@@ -116,10 +116,10 @@
 
     void apply_observation(const peer_observation& received) {
         if (!received.primary.empty()) {
-            m_host.note_path(received.service, received.peer, received.heard_at);
+            m_host.note_path(received.service, received.peer, received.last_contact_at);
         }
-        if (received.furthest) {
-            m_host.note_told(received.service, {received.reported, *received.furthest});
+        if (received.highest_position) {
+            m_host.note_reported_position(received.service, {received.reported, *received.highest_position});
         }
         const auto found = m_host.pools().find(received.service);
         if (found == m_host.pools().end()) {
@@ -129,7 +129,7 @@
             found->second->add_sample(*received.sample);
         }
         if (!received.primary.empty()) {
-            found->second->believe(received.primary, received.confirmed_at);
+            found->second->accept_peer_confirmation(received.primary, received.leadership_confirmed_at);
         }
     }
 
@@ -141,19 +141,19 @@
                 continue;
             }
             const auto* newest = backends->floor().newest();
-            out.push_back({name, backends->sight(),
+            out.push_back({name, backends->observation(),
                            newest == nullptr ? std::nullopt : std::optional<routing::freshness_sample>{*newest}});
         }
         co_return out;
     }
 
     asio::awaitable<void> query_one(pool& backends, std::string id, bool draining, std::shared_ptr<query_state> into) {
-        auto answer = co_await backends.ask(id, sql::own(sql::statement_kind::status), query_timeout);
+        auto answer = co_await backends.ask(id, sql::proxy_command(sql::statement_kind::status), query_timeout);
         replica_report report{.id = id, .received = {}, .draining = draining, .answered = answer.has_value()};
         if (answer) {
             if (const auto status = Connector::status_of(*answer)) {
                 report.received = status->received;
-                report.is_primary = status->leads;
+                report.is_primary = status->is_primary;
             } else if (answer->position) {
                 // The server is too busy to give its status. What it has applied, it has received.
                 report.received = *answer->position;
@@ -193,7 +193,7 @@
     }
 
     asio::awaitable<bool> confirm_primary(std::string service, std::string id, std::chrono::milliseconds timeout) {
-        co_return co_await m_host.pool_for(service).leads_now(std::move(id), timeout);
+        co_return co_await m_host.pool_for(service).is_primary_now(std::move(id), timeout);
     }
 
     asio::awaitable<bool> poll_for_leadership(std::string service, std::string id, std::chrono::milliseconds timeout) {
@@ -201,8 +201,8 @@
         const auto begun = boot_clock::now();
         while (boot_clock::now() - begun < timeout) {
             co_await backends.probe(id);
-            const auto observed = backends.sight();
-            if (observed.id == id && observed.confirmed_at >= begun) {
+            const auto observed = backends.observation();
+            if (observed.id == id && observed.leadership_confirmed_at >= begun) {
                 co_return true;
             }
             co_await sleep_for(probe_period);
--- /dev/null
+++ b/src/cornellever/routing/leadership_backoff.hpp
@@ -0,0 +1,44 @@
+#pragma once
+
+#include <algorithm>
+#include <chrono>
+
+#include "cornellever/core/boot_clock.hpp"
+
+namespace cornellever::routing {
+
+/// Backoff before a server's leadership confirmations count again after it
+/// refused a statement with `not_primary`. Without it, a server that opens
+/// transactions as the primary but refuses writes would be adopted as the
+/// primary again right after each refusal, by every proxy and for every waiting
+/// statement.
+class leadership_backoff {
+public:
+    using time_point = boot_clock::time_point;
+
+    /// The server refused a statement with `not_primary` while it was considered
+    /// the primary. Repeated refusals double the pause.
+    void note_refusal(time_point now) {
+        const bool again = m_refused_at != time_point{} && now - m_refused_at < forget_after;
+        m_pause = again ? std::min(m_pause * 2, max_pause) : initial_pause;
+        m_refused_at = now;
+    }
+
+    /// The server acknowledged a commit: ends the backoff.
+    void clear() { m_refused_at = {}; }
+
+    /// Whether a leadership confirmation requested at `asked_at` counts.
+    [[nodiscard]] bool accepts_confirmation(time_point asked_at) const {
+        return m_refused_at == time_point{} || asked_at >= m_refused_at + m_pause;
+    }
+
+private:
+    static constexpr std::chrono::milliseconds initial_pause{40};
+    static constexpr std::chrono::milliseconds max_pause{640};
+    static constexpr std::chrono::milliseconds forget_after{5000};
+
+    time_point m_refused_at{};
+    std::chrono::milliseconds m_pause{initial_pause};
+};
+
+} // namespace cornellever::routing
--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -12,7 +12,7 @@
 
 #include "cornellever/core/boot_clock.hpp"
 #include "cornellever/routing/backend_link.hpp"
-#include "cornellever/routing/lead_doubt.hpp"
+#include "cornellever/routing/leadership_backoff.hpp"
 #include "cornellever/routing/model.hpp"
 #include "cornellever/routing/replica_progress.hpp"
 #include "cornellever/session/connection_memory.hpp"
@@ -22,39 +22,41 @@
 template <backend_link Link>
 struct pool_entry;
 
-/// A pooled connection and what is known of it.
+/// A pooled connection and its state.
 template <backend_link Link>
 struct pooled_slot {
     std::unique_ptr<Link> connection;
-    pool_entry<Link>* home{nullptr};
-    /// The server was told this account when the connection was opened, and
-    /// takes all statements on it for that account's; empty for the proxy's own.
+    /// The server that it is connected to.
+    pool_entry<Link>* server_entry{nullptr};
+    /// The account that the connection was opened for: the server attributes all
+    /// statements on it to that account. Empty for the proxy's own.
     std::string account{};
-    /// When it was last handed back.
-    boot_clock::time_point used_at{};
+    /// When it last became idle.
+    boot_clock::time_point returned_at{};
+    /// Session state that is set up on the connection.
     session::connection_memory memory;
-    /// In use by a request, or by the pool's own housekeeping.
+    /// Checked out by a request or used by the pool's housekeeping.
     bool busy{false};
-    /// Held by a transaction whose caller is between two statements.
-    bool resting{false};
-    /// A statement runs on it whose answer is awaited.
-    bool awaiting{false};
-    /// The answer is late by so much that it is taken to be lost.
+    /// Held by a transaction that is between two statements.
+    bool idle_in_transaction{false};
+    /// A request is waiting for the answer to a statement.
+    bool awaiting_reply{false};
+    /// The answer is so late that it is presumed lost (see `overdue_after`).
     bool overdue{false};
-    /// A transaction that the server accepted as its primary is open and
-    /// unused. A read in it is refused once the server has lost the lead, so
-    /// it needs no other proof of freshness.
-    bool armed{false};
-    /// When that transaction was opened.
-    boot_clock::time_point armed_at{};
-    /// When the statements were sent whose answers are still owed.
+    /// A read-write transaction was opened ahead of use, which the server only
+    /// accepts as the primary. A read in it is refused once the server is no
+    /// longer the primary, so it needs no other check of freshness.
+    bool primed{false};
+    /// When the statement that opened this transaction was sent.
+    boot_clock::time_point primed_at{};
+    /// When the last batch was sent.
     boot_clock::time_point sent_at{};
 };
 
-/// How long statements take at a server, as a moving average that goes back to
-/// the ordinary while the server is not used: a server that was slow once is
+/// Exponential moving average of the statement time on a server. It decays to a
+/// default while the server is unused, so that a server that was slow once is
 /// tried again.
-class typical_time {
+class statement_time_average {
 public:
     void record(boot_clock::time_point now, std::chrono::duration<double, std::milli> took) {
         m_ms = value(now) + weight * (took.count() - value(now));
@@ -63,125 +65,134 @@
 
     [[nodiscard]] double value(boot_clock::time_point now) const {
         const double idle_s = std::chrono::duration<double>(now - m_at).count();
-        return ordinary_ms + (m_ms - ordinary_ms) * std::exp2(-idle_s / half_life_s);
+        return default_ms + (m_ms - default_ms) * std::exp2(-idle_s / half_life_s);
     }
 
 private:
-    /// About the mean work of today's statements.
-    static constexpr double ordinary_ms = 10.0;
+    /// About the mean execution time of a statement.
+    static constexpr double default_ms = 10.0;
     static constexpr double weight = 0.15;
     static constexpr double half_life_s = 1.5;
 
-    double m_ms{ordinary_ms};
+    double m_ms{default_ms};
     boot_clock::time_point m_at{};
 };
 
-/// How late an answer has to be to count as lost, where statements usually take
-/// `typical_ms`. An answer that is lost on its way leaves its connection mute
-/// until the statement's own timeout (800 ms for a write, which must not be run
-/// again); were that the only one, everything else would wait as long. One in a
-/// hundred statements takes five times the usual.
-[[nodiscard]] inline std::chrono::milliseconds overdue_after(double typical_ms) {
+/// The delay after which an answer is presumed lost, given the average statement
+/// time. A lost answer blocks its connection until the statement times out (800
+/// ms for a write, which must not be retried); if that is the only connection,
+/// all other requests wait as long. One in a hundred statements takes five times
+/// the average.
+[[nodiscard]] inline std::chrono::milliseconds overdue_after(double statement_time_ms) {
     constexpr std::chrono::milliseconds shortest{100};
-    constexpr double times_typical = 4.0;
-    return std::max(shortest, std::chrono::milliseconds{std::llround(times_typical * typical_ms)});
+    constexpr double multiple = 4.0;
+    return std::max(shortest, std::chrono::milliseconds{std::llround(multiple * statement_time_ms)});
 }
 
-/// One backend server, its connections, and what was seen of it.
+/// One backend server, its pooled connections and its observed state.
 template <backend_link Link>
 struct pool_entry {
     using time_point = boot_clock::time_point;
 
     backend_server server;
-    std::vector<std::unique_ptr<pooled_slot<Link>>> slots;
-    /// Connections being opened, and for whom where it is for an account.
+    std::vector<std::unique_ptr<pooled_slot<Link>>> open_connections;
+    /// Connections being opened, and the accounts of those opened for one.
     std::size_t opening{0};
     std::vector<std::string> opening_for;
-    /// No connection is opened before that: the last try failed.
+    /// Backoff: no connection is opened before this time.
     time_point open_after{};
     int failed_opens{0};
-    /// When it last refused a connection for having too many.
-    time_point full_at{};
-    typical_time typical;
+    /// When it last refused a connection with `too_many_connections`.
+    time_point limit_reached_at{};
+    statement_time_average statement_time;
+    /// Statements that this proxy is running there.
     std::size_t in_flight{0};
-    /// How far it has applied the log, where it is a replica.
+    /// How far it has applied the log; unused for the primary.
     replica_progress progress;
-    lead_doubt doubt;
-    /// Since when it leads with an empty log while another registered server,
-    /// which may hold its commits, has not answered.
-    std::optional<time_point> empty_since;
-    /// The last answer of any kind, and the last sign that nobody answers.
-    time_point heard_at{};
+    leadership_backoff refusal_backoff;
+    /// Since when it is the primary with an empty log while another registered
+    /// server, which may hold its commits, has not answered yet.
+    std::optional<time_point> empty_log_since;
+    /// The last answer of any kind, refused connection and timeout.
+    time_point last_contact_at{};
     time_point refused_at{};
-    time_point silent_at{};
-    /// No longer registered, or started again; kept until its connections are
-    /// handed back.
-    bool gone{false};
-    /// Set where the server started again: a lead that was proved before was
-    /// that of its process before.
-    time_point since{};
-    /// When it was first seen to be leaving.
+    time_point timed_out_at{};
+    /// Deregistered or restarted; the entry is kept until its connections have
+    /// been returned.
+    bool retired{false};
+    /// Set when the server restarted or lost its log: leadership confirmations
+    /// requested earlier don't count.
+    time_point leadership_valid_after{};
+    /// When it was first seen draining.
     std::optional<time_point> draining_since;
 
-    /// Whether it is not used for that: the other server may still answer.
-    [[nodiscard]] bool awaits_witness(time_point now) const { return empty_since && now - *empty_since < witness_wait; }
+    /// Whether it is not used as the primary yet because of its empty log: the
+    /// other server may still answer.
+    [[nodiscard]] bool awaits_other_logs(time_point now) const {
+        return empty_log_since && now - *empty_log_since < other_logs_wait;
+    }
 
-    /// Connections open or being opened.
-    [[nodiscard]] std::size_t held() const noexcept { return slots.size() + opening; }
+    /// Connections that are open or being opened.
+    [[nodiscard]] std::size_t held() const noexcept { return open_connections.size() + opening; }
 
-    /// Any connection that is not in use; null when there is none.
+    /// Any idle connection; null when there is none.
     [[nodiscard]] pooled_slot<Link>* any_idle() const {
-        const auto found = std::ranges::find_if(slots, [](const auto& item) { return !item->busy; });
-        return found == slots.end() ? nullptr : found->get();
+        const auto found = std::ranges::find_if(open_connections, [](const auto& item) { return !item->busy; });
+        return found == open_connections.end() ? nullptr : found->get();
     }
 
-    /// The connection that has been idle for longest among those whose account
-    /// `spares` holds for; null when there is none.
-    template <std::predicate<const std::string&> Spares>
-    [[nodiscard]] pooled_slot<Link>* longest_idle(Spares spares) const {
+    /// The least recently used idle connection whose account `matches`; null when
+    /// there is none.
+    template <std::predicate<const std::string&> Predicate>
+    [[nodiscard]] pooled_slot<Link>* longest_idle(Predicate matches) const {
         pooled_slot<Link>* out = nullptr;
-        for (const auto& item : slots) {
-            if (!item->busy && spares(item->account) && (out == nullptr || item->used_at < out->used_at)) {
+        for (const auto& item : open_connections) {
+            if (!item->busy && matches(item->account) && (out == nullptr || item->returned_at < out->returned_at)) {
                 out = item.get();
             }
         }
         return out;
     }
 
-    /// Connections of an account that can run a statement, or will.
-    [[nodiscard]] std::size_t useful_of(std::string_view account) const {
-        const auto open = std::ranges::count_if(
-            slots, [&](const auto& item) { return item->account == account && !item->resting && !item->overdue; });
+    /// Connections of an account that can run a statement now or soon, including
+    /// those being opened.
+    [[nodiscard]] std::size_t usable_count(std::string_view account) const {
+        const auto open = std::ranges::count_if(open_connections, [&](const auto& item) {
+            return item->account == account && !item->idle_in_transaction && !item->overdue;
+        });
         return static_cast<std::size_t>(open + std::ranges::count(opening_for, account));
     }
 
-    /// Idle connections of an account.
-    [[nodiscard]] std::size_t idle_of(std::string_view account) const {
-        return static_cast<std::size_t>(
-            std::ranges::count_if(slots, [&](const auto& item) { return !item->busy && item->account == account; }));
+    [[nodiscard]] std::size_t idle_count(std::string_view account) const {
+        return static_cast<std::size_t>(std::ranges::count_if(
+            open_connections, [&](const auto& item) { return !item->busy && item->account == account; }));
     }
 
     [[nodiscard]] std::size_t idle() const {
-        return static_cast<std::size_t>(std::ranges::count_if(slots, [](const auto& item) { return !item->busy; }));
+        return static_cast<std::size_t>(
+            std::ranges::count_if(open_connections, [](const auto& item) { return !item->busy; }));
     }
 
-    /// Connections in use, but for those that rest in a transaction and those
-    /// whose answer is overdue.
-    [[nodiscard]] std::size_t working() const {
-        return static_cast<std::size_t>(std::ranges::count_if(
-            slots, [](const auto& item) { return item->busy && !item->resting && !item->overdue; }));
+    /// Connections in use, except those idle in a transaction and those whose
+    /// answer is overdue.
+    [[nodiscard]] std::size_t active_count() const {
+        return static_cast<std::size_t>(std::ranges::count_if(open_connections, [](const auto& item) {
+            return item->busy && !item->idle_in_transaction && !item->overdue;
+        }));
     }
 
     [[nodiscard]] std::size_t overdue() const {
-        return static_cast<std::size_t>(std::ranges::count_if(slots, [](const auto& item) { return item->overdue; }));
+        return static_cast<std::size_t>(
+            std::ranges::count_if(open_connections, [](const auto& item) { return item->overdue; }));
     }
 
-    /// Marks the connections whose answer has become overdue; whether any has.
+    /// Marks the connections whose answer has become overdue; true when there
+    /// are new ones.
     bool mark_overdue(time_point now) {
-        const auto limit = overdue_after(typical.value(now));
+        const auto limit = overdue_after(statement_time.value(now));
         bool out = false;
-        for (auto& item : slots) {
-            if (item->awaiting && !item->overdue && now - item->sent_at > limit) {
+        for (auto& item : open_connections) {
+            if (item->awaiting_reply && !item->overdue && now - item->sent_at > limit) {
                 item->overdue = true;
                 out = true;
             }
@@ -189,12 +200,12 @@
         return out;
     }
 
-    /// Whether nobody answered since the last answer.
-    [[nodiscard]] bool unreachable() const noexcept { return std::max(refused_at, silent_at) > heard_at; }
+    /// Whether the last attempt to reach it was refused or timed out.
+    [[nodiscard]] bool unreachable() const noexcept { return std::max(refused_at, timed_out_at) > last_contact_at; }
 
 private:
-    /// Longer than most servers take to start again.
-    static constexpr std::chrono::milliseconds witness_wait{5000};
+    /// Longer than most servers take to restart.
+    static constexpr std::chrono::milliseconds other_logs_wait{5000};
 };
 
 } // namespace cornellever::routing
--- a/src/cornellever/routing/service_pool_accounts.ipp
+++ b/src/cornellever/routing/service_pool_accounts.ipp
@@ -1,16 +1,16 @@
 #pragma once
 
-// Connections that belong to one account each: when one is opened, and which
-// makes room for it.
+// Connections that belong to one account each: when to open one and which idle
+// connection to evict for it.
 
 namespace cornellever::routing {
 
 template <link_connector Connector>
-typename service_pool<Connector>::slot* service_pool<Connector>::makes_room(const entry& at, const std::string& account,
-                                                                            bool urgent) const {
+typename service_pool<Connector>::slot*
+service_pool<Connector>::eviction_candidate(const entry& at, const std::string& account, bool urgent) const {
     return at.longest_idle([&](const std::string& other) {
-        return other != account && (urgent || std::ranges::none_of(m_line.items(), [&](const auto* item) {
-                                        return item->want.account == other;
+        return other != account && (urgent || std::ranges::none_of(m_wait_queue.items(), [&](const auto* item) {
+                                        return item->request.account == other;
                                     }));
     });
 }
@@ -18,42 +18,45 @@
 template <link_connector Connector>
 bool service_pool<Connector>::may_open_for(const entry& at, const std::string& account, bool urgent,
                                            time_point now) const {
-    // More connections of one account than statements that may run there at a
-    // time would only cost others theirs.
-    return now >= at.open_after && at.opening_for.size() < most_openings &&
-           at.useful_of(account) < statements_at_once(at) &&
-           (has_room(at) || makes_room(at, account, urgent) != nullptr);
+    // More connections of one account than statements that may run there
+    // concurrently would only take connections from other accounts.
+    return now >= at.open_after && at.opening_for.size() < max_openings &&
+           at.usable_count(account) < max_concurrency(at) &&
+           (has_room(at) || eviction_candidate(at, account, urgent) != nullptr);
 }
 
-/// The server to which a connection for an account is best opened.
+/// The best server for a new connection of the request's account; null when none
+/// may be opened.
 template <link_connector Connector>
-typename service_pool<Connector>::entry* service_pool<Connector>::place_opening(const connection_want& want) {
+typename service_pool<Connector>::entry*
+service_pool<Connector>::choose_server_to_open(const connection_request& request) {
     const auto now = boot_clock::now();
     std::vector<placement_candidate> candidates;
     std::vector<entry*> at;
     for (auto& [id, item] : m_entries) {
-        if (!suits(want, *item, now) || !may_open_for(*item, want.account, false, now)) {
+        if (!eligible(request, *item, now) || !may_open_for(*item, request.account, false, now)) {
             continue;
         }
-        candidates.push_back({.same_data_center = item->server.data_center == m_data_center,
-                              .primary = id == m_primary,
-                              .in_flight = item->in_flight + item->opening,
-                              .idle = 1,
-                              .typical = std::chrono::duration<double, std::milli>{item->typical.value(now)}});
+        candidates.push_back(
+            {.same_data_center = item->server.data_center == m_data_center,
+             .primary = id == m_primary,
+             .in_flight = item->in_flight + item->opening,
+             .idle = 1,
+             .statement_time = std::chrono::duration<double, std::milli>{item->statement_time.value(now)}});
         at.push_back(item.get());
     }
     const auto chosen = place_read(candidates, false);
     return chosen ? at[*chosen] : nullptr;
 }
 
-/// Opens a connection for an account. Where this proxy's share of the server is
-/// used up, the connection that was idle for longest makes room: a server knows
-/// a connection's account from its opening on, so that it can't be handed over.
-/// Those that requests in line can use stay, unless it is urgent.
+/// Opens a connection for an account. When this proxy's share of the server is
+/// used up, the least recently used idle connection is evicted: the account of a
+/// connection is fixed when it is opened, so it can't be reused for another one.
+/// Connections that queued requests can use are spared, unless `urgent`.
 template <link_connector Connector>
 void service_pool<Connector>::open_for_account(entry& at, const std::string& account, bool urgent) {
     if (!has_room(at)) {
-        destroy(*makes_room(at, account, urgent));
+        destroy(*eviction_candidate(at, account, urgent));
     }
     at.opening_for.push_back(account);
     open_one(at, account);
@@ -68,45 +71,46 @@
     }
 }
 
-/// Whether a request has let others go before it for long enough. A server that
-/// is short of slots spends one of them on each opening for half as long as on a
-/// statement, so connections are used up first by those whose they are; but an
-/// account with many requests would take each one that comes free, and one with
-/// few would wait for as long as that goes on.
+/// Whether a request has waited so long that it may evict a connection that other
+/// queued requests can use. Opening a connection takes one of the server's
+/// execution slots for half as long as a statement, so existing connections are
+/// normally reused by their own account first. Without a limit, an account with
+/// many requests would take every connection that becomes free and starve accounts
+/// with few.
 template <link_connector Connector>
 bool service_pool<Connector>::has_waited_long(const entry& at, const waiter& item, time_point now) const {
     constexpr double statements = 2.0;
-    return std::chrono::duration<double, std::milli>(now - item.joined_at).count() >=
-           statements * at.typical.value(now);
+    return std::chrono::duration<double, std::milli>(now - item.enqueued_at).count() >=
+           statements * at.statement_time.value(now);
 }
 
-/// Grants a connection of its account to a waiter; whether one was idle. Where
-/// none is, one is opened for it.
+/// Grants an idle connection of its account to a waiter; false when there is none.
+/// In that case a connection is opened for it, unless one is already on its way.
 template <link_connector Connector>
-bool service_pool<Connector>::serve_one(entry& at, waiter& next) {
-    if (auto* idle = best_idle(at, next.want); idle != nullptr) {
+bool service_pool<Connector>::try_serve(entry& at, waiter& next) {
+    if (auto* idle = best_idle(at, next.request); idle != nullptr) {
         grant(next, *idle);
         return true;
     }
     const auto now = boot_clock::now();
-    const auto& account = next.want.account;
+    const auto& account = next.request.account;
     const bool urgent = has_waited_long(at, next, now);
-    const bool under_way = std::ranges::any_of(m_entries, [&](const auto& item) {
+    const bool already_opening = std::ranges::any_of(m_entries, [&](const auto& item) {
         const auto& opening = item.second->opening_for;
-        return std::ranges::find(opening, account) != opening.end() && suits(next.want, *item.second, now);
+        return std::ranges::find(opening, account) != opening.end() && eligible(next.request, *item.second, now);
     });
-    if (m_named && !under_way && may_open_for(at, account, urgent, now)) {
+    if (m_account_traffic && !already_opening && may_open_for(at, account, urgent, now)) {
         open_for_account(at, account, urgent);
     }
     return false;
 }
 
-/// Gives back what accounts were given beyond the budget.
+/// Closes idle connections beyond the budget.
 template <link_connector Connector>
-void service_pool<Connector>::close_unneeded(entry& at, time_point now) {
-    while (at.slots.size() > m_budget) {
+void service_pool<Connector>::close_surplus(entry& at, time_point now) {
+    while (at.open_connections.size() > m_budget) {
         auto* item = at.longest_idle([](const std::string&) { return true; });
-        if (item == nullptr || now - item->used_at < unneeded_after) {
+        if (item == nullptr || now - item->returned_at < surplus_after) {
             return;
         }
         destroy(*item);
--- /dev/null
+++ b/src/cornellever/routing/service_pool_queue.ipp
@@ -0,0 +1,163 @@
+#pragma once
+
+// The wait queue and the expected waiting times of its requests.
+
+namespace cornellever::routing {
+
+template <link_connector Connector>
+asio::awaitable<typename service_pool<Connector>::lease> service_pool<Connector>::acquire(connection_request request) {
+    note_use();
+    m_account_traffic = m_account_traffic || !request.account.empty();
+    if (auto* found = check_out(request); found != nullptr) {
+        co_return lease{*this, *found};
+    }
+    open_for_request(request);
+    if (request.primary && m_primary.empty()) {
+        start_primary_search();
+    }
+    waiter self{request, request.priority, request.until, boot_clock::now(), asio::steady_timer{m_executor}};
+    m_wait_queue.enqueue(self);
+    reject_overtaken(self);
+    while (self.granted == nullptr && !self.too_late && boot_clock::now() < request.until) {
+        self.timer.expires_after(request.until - boot_clock::now());
+        boost::system::error_code ignored;
+        co_await self.timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    }
+    if (self.granted == nullptr) {
+        m_wait_queue.dequeue(self);
+        co_return lease{};
+    }
+    co_return lease{*this, *self.granted};
+}
+
+template <link_connector Connector>
+void service_pool<Connector>::grant(waiter& next, slot& held) {
+    held.busy = true;
+    next.granted = &held;
+    next.timer.cancel();
+}
+
+/// Grants idle connections of a server to queued requests, within this proxy's
+/// share of the server's concurrency.
+template <link_connector Connector>
+void service_pool<Connector>::serve_queue(entry& at) {
+    const auto now = boot_clock::now();
+    auto& items = m_wait_queue.items();
+    for (auto place = items.begin(); place != items.end();) {
+        if (at.retired || at.active_count() >= max_concurrency(at)) {
+            return;
+        }
+        waiter& next = **place;
+        ++place;
+        if (eligible(next.request, at, now) && try_serve(at, next)) {
+            m_wait_queue.dequeue(next);
+        }
+    }
+}
+
+/// Replaces connections whose answer is overdue until that answer arrives or times
+/// out. The replacements use the part of the server's connection limit that is
+/// reserved for connections of dead processes, and at most double the number of
+/// connections.
+template <link_connector Connector>
+void service_pool<Connector>::replace_overdue(entry& at, time_point now) {
+    if (!at.mark_overdue(now)) {
+        return;
+    }
+    log_event(event::answer_overdue, "service=" + m_service + " server=" + at.server.id +
+                                         " overdue=" + std::to_string(at.overdue()) +
+                                         " typical_ms=" + std::to_string(std::llround(at.statement_time.value(now))) +
+                                         " waiting=" + std::to_string(m_wait_queue.size()));
+    serve_queue(at);
+    const auto needed =
+        std::ranges::any_of(m_wait_queue.items(), [&](const auto* item) { return eligible(item->request, at, now); });
+    if (!m_account_traffic && needed && may_open(at, now)) {
+        open_one(at);
+    }
+}
+
+template <link_connector Connector>
+void service_pool<Connector>::mark_idle_in_transaction(slot& held) {
+    held.idle_in_transaction = true;
+    serve_queue(*held.server_entry);
+}
+
+/// The servers eligible for a request, by their index in `m_entries`.
+template <link_connector Connector>
+server_set service_pool<Connector>::servers_for(const connection_request& request, time_point now) const {
+    server_set out = 0;
+    std::size_t place = 0;
+    for (const auto& [id, at] : m_entries) {
+        if (place < std::numeric_limits<server_set>::digits && eligible(request, *at, now)) {
+            out |= server_set{1} << place;
+        }
+        ++place;
+    }
+    return out;
+}
+
+template <link_connector Connector>
+std::vector<server_capacity> service_pool<Connector>::server_capacities(time_point now) const {
+    std::vector<server_capacity> out;
+    out.reserve(m_entries.size());
+    for (const auto& [id, at] : m_entries) {
+        // With account connections, any idle one can be replaced by one of another
+        // account within the time of a handshake.
+        const auto connections =
+            m_account_traffic && !at->open_connections.empty() ? m_budget : at->open_connections.size();
+        out.push_back({std::min(max_concurrency(*at), connections),
+                       std::chrono::duration<double, std::milli>{at->statement_time.value(now)}});
+    }
+    return out;
+}
+
+template <link_connector Connector>
+std::vector<queued_request> service_pool<Connector>::queue_snapshot(time_point now) const {
+    std::vector<queued_request> out;
+    out.reserve(m_wait_queue.size());
+    for (const auto* item : m_wait_queue.items()) {
+        out.push_back({servers_for(item->request, now), item->until});
+    }
+    return out;
+}
+
+template <link_connector Connector>
+load_view service_pool<Connector>::expected_load(const connection_request& request, const time_limits& limits) const {
+    const auto now = boot_clock::now();
+    const auto eligible_servers = servers_for(request, now);
+    const auto capacity = combined_capacity(server_capacities(now), eligible_servers);
+    load_view out{.concurrency = capacity.concurrency, .statement_time = capacity.statement_time};
+    if (m_wait_queue.empty()) {
+        return out;
+    }
+    const auto queue = queue_snapshot(now);
+    const auto place = m_wait_queue.queue_position(request.priority, now + max_wait(out, limits));
+    out.requests_ahead = count_competing(std::span{queue}.first(place), eligible_servers);
+    return out;
+}
+
+/// Rejects queued requests that are no longer expected to be served in time
+/// because `by` was queued ahead of them, so that their callers can still use the
+/// remaining time.
+template <link_connector Connector>
+void service_pool<Connector>::reject_overtaken(const waiter& by) {
+    const auto& items = m_wait_queue.items();
+    const auto at = std::ranges::find(items, &by);
+    const auto first = static_cast<std::size_t>(std::distance(items.begin(), at)) + 1;
+    if (first >= items.size()) {
+        return;
+    }
+    const auto now = boot_clock::now();
+    const auto queue = queue_snapshot(now);
+    std::vector<waiter*> late;
+    for (const auto place : too_late(server_capacities(now), queue, first, now)) {
+        late.push_back(*std::next(items.begin(), static_cast<std::ptrdiff_t>(place)));
+    }
+    for (auto* item : late) {
+        m_wait_queue.dequeue(*item);
+        item->too_late = true;
+        item->timer.cancel();
+    }
+}
+
+} // namespace cornellever::routing
--- a/tests/unit/fake_link.hpp
+++ b/tests/unit/fake_link.hpp
@@ -17,56 +17,57 @@
 
 namespace cornellever::test {
 
-/// A statement as a fake server met it.
-struct met_statement {
+/// A statement as received by a fake server.
+struct received_statement {
     int connection{0};
-    /// Counts the batches of the connection: statements of one batch were sent
-    /// without waiting for an answer.
+    /// The number of the batch on its connection. The statements of one batch are
+    /// sent without waiting for answers in between.
     int batch{0};
     std::string id;
     sql::statement_kind kind{sql::statement_kind::begin};
     std::string text;
     bool in_transaction{false};
-    /// For whom the connection was opened.
+    /// The account that the connection was opened for.
     std::string account{};
     std::map<std::string, std::string, std::less<>> values;
 };
 
-/// A backend server in memory, with the failures that tests bring about.
+/// An in-memory backend server with fault injection.
 struct fake_server {
-    bool leads{false};
+    bool is_primary{false};
     sql::log_position position{1, 10};
-    /// Opening a connection is refused, or not answered.
+    /// Opening a connection fails this way.
     std::optional<routing::connect_failure> connect_fails{};
-    /// Connections that are open break at their next statement, once.
+    /// The next connection to send a statement breaks, once.
     bool reset_connections{false};
-    /// Statements are not answered from now on, though they run.
+    /// Statements run but are not answered.
     bool silent{false};
-    /// How long a statement whose answer is lost is waited for.
+    /// How long the proxy waits for a lost answer at most.
     std::chrono::milliseconds silent_for{20};
-    /// The answers to so many callers' statements are lost, though they run.
+    /// So many of callers' next statements run, but their answers are lost.
     int lose_answers{0};
-    /// So many callers' statements are refused.
+    /// So many of callers' next statements are refused.
     int refuse{0};
     sql::refusal refuse_with{sql::refusal::overloaded};
-    std::vector<met_statement> met{};
+    std::vector<received_statement> received_statements{};
     int connections{0};
-    /// Connections open now, and the most there were since a test set it back.
+    /// Open connections, and their maximum since a test last reset it.
     int open{0};
     int most_open{0};
 
-    [[nodiscard]] std::vector<met_statement> of(const std::string& id) const {
-        std::vector<met_statement> out;
-        std::ranges::copy_if(met, std::back_inserter(out), [&](const auto& item) { return item.id == id; });
+    [[nodiscard]] std::vector<received_statement> of(const std::string& id) const {
+        std::vector<received_statement> out;
+        std::ranges::copy_if(received_statements, std::back_inserter(out),
+                             [&](const auto& item) { return item.id == id; });
         return out;
     }
     [[nodiscard]] std::size_t count(sql::statement_kind kind) const {
         return static_cast<std::size_t>(
-            std::ranges::count_if(met, [&](const auto& item) { return item.kind == kind; }));
+            std::ranges::count_if(received_statements, [&](const auto& item) { return item.kind == kind; }));
     }
 };
 
-/// A connection to a fake server (routing::backend_link).
+/// A connection to a fake server (models routing::backend_link).
 class fake_link {
 public:
     explicit fake_link(fake_server& server, std::string account = {})
@@ -79,20 +80,20 @@
     fake_link& operator=(const fake_link&) = delete;
     ~fake_link() { close(); }
 
-    asio::awaitable<routing::link_reply> exchange(const std::vector<sql::command>& batch, std::size_t wanted,
+    asio::awaitable<routing::link_reply> exchange(const std::vector<sql::command>& batch, std::size_t reply_index,
                                                   boot_clock::time_point until) {
         if (!post(batch)) {
             co_return std::unexpected{routing::link_failure::not_sent};
         }
-        for (std::size_t i = 0; i <= wanted; ++i) {
-            if (m_owed.empty() || m_server.silent || m_lost) {
+        for (std::size_t i = 0; i <= reply_index; ++i) {
+            if (m_pending.empty() || m_server.silent || m_lost) {
                 co_await sleep_for(std::chrono::milliseconds{
                     std::min<long long>(to_ms(until - boot_clock::now()), m_server.silent_for.count())});
                 close();
                 co_return std::unexpected{routing::link_failure::silent};
             }
-            m_last = m_owed.front();
-            m_owed.erase(m_owed.begin());
+            m_last = m_pending.front();
+            m_pending.erase(m_pending.begin());
         }
         co_return m_last;
     }
@@ -112,13 +113,13 @@
         return true;
     }
 
-    asio::awaitable<routing::link_reply> settle(boot_clock::time_point) {
+    asio::awaitable<routing::link_reply> await_pending(boot_clock::time_point) {
         if (m_server.silent || m_lost) {
             close();
             co_return std::unexpected{routing::link_failure::silent};
         }
-        auto last = m_owed.empty() ? sql::reply{} : m_owed.back();
-        m_owed.clear();
+        auto last = m_pending.empty() ? sql::reply{} : m_pending.back();
+        m_pending.clear();
         co_return last;
     }
 
@@ -127,9 +128,9 @@
 
 private:
     void run(const sql::command& what) {
-        m_server.met.push_back({m_number, m_batch, what.request_id, what.what.kind, what.what.text,
-                                m_state == sql::transaction_state::open, m_account, m_values});
-        m_owed.push_back(answer(what));
+        m_server.received_statements.push_back({m_number, m_batch, what.request_id, what.what.kind, what.what.text,
+                                                m_state == sql::transaction_state::open, m_account, m_values});
+        m_pending.push_back(answer(what));
         if (!what.request_id.empty() && m_server.lose_answers > 0) {
             --m_server.lose_answers;
             m_lost = true;
@@ -157,29 +158,29 @@
         if (what.after && m_server.position < *what.after) {
             return refuse(sql::refusal::behind);
         }
-        const bool lost_lead = m_plain && !m_server.leads;
+        const bool lost_leadership = m_read_write && !m_server.is_primary;
         if (kind == statement_kind::rollback) {
             m_state = sql::transaction_state::idle;
-            m_plain = false;
+            m_read_write = false;
         } else if (m_state == sql::transaction_state::failed) {
             return refuse(sql::refusal::malformed);
         } else if (kind == statement_kind::begin) {
-            if (!m_server.leads) {
+            if (!m_server.is_primary) {
                 return refuse(sql::refusal::not_primary);
             }
             m_state = sql::transaction_state::open;
-            m_plain = true;
+            m_read_write = true;
         } else if (kind == statement_kind::begin_read_only) {
             m_state = sql::transaction_state::open;
         } else if (kind == statement_kind::set) {
             m_values.insert_or_assign(what.what.name, what.what.text);
         } else if (kind == statement_kind::reset) {
             m_values.clear();
-        } else if (lost_lead || (kind == statement_kind::write && !m_server.leads)) {
+        } else if (lost_leadership || (kind == statement_kind::write && !m_server.is_primary)) {
             return refuse(sql::refusal::not_primary);
         } else if (kind == statement_kind::commit) {
             m_state = sql::transaction_state::idle;
-            m_plain = false;
+            m_read_write = false;
             ++m_server.position.number;
         } else if (kind == statement_kind::write && m_state == sql::transaction_state::idle) {
             ++m_server.position.number;
@@ -200,36 +201,36 @@
     int m_number;
     std::string m_account;
     int m_batch{0};
-    std::vector<sql::reply> m_owed;
+    std::vector<sql::reply> m_pending;
     sql::reply m_last;
     sql::transaction_state m_state{sql::transaction_state::idle};
     std::map<std::string, std::string, std::less<>> m_values;
-    bool m_plain{false};
+    bool m_read_write{false};
     bool m_usable{true};
     bool m_lost{false};
 };
 
-/// A proxy that owns connections.
+/// A connection owner that sessions are relayed to.
 struct fake_owner {
     std::vector<std::string> asked{};
-    /// It is gone after so many answers.
+    /// It fails after this many answers.
     int answers{1000};
-    /// It refuses what is passed on to it.
-    bool refuses_passed_on{false};
-    /// The last commits that sessions were opened with.
+    /// It refuses statements that are forwarded without waiting for an answer.
+    bool refuses_forwarded{false};
+    /// The last commit that each session was opened with.
     std::vector<std::optional<sql::log_position>> opened_after{};
-    /// The position that its answers name.
+    /// The log position in its answers.
     std::optional<sql::log_position> position{};
 };
 
-/// A session at a fake owner (session::relayed_session).
+/// A session at a fake owner (models session::relayed_session).
 class fake_relay {
 public:
     explicit fake_relay(fake_owner& owner) : m_owner{owner} {}
 
     asio::awaitable<routing::link_reply> ask(const sql::request& request, boot_clock::time_point) {
-        for (; m_owed > 0; --m_owed) {
-            if (m_owner.answers-- <= 0 || m_owner.refuses_passed_on) {
+        for (; m_pending > 0; --m_pending) {
+            if (m_owner.answers-- <= 0 || m_owner.refuses_forwarded) {
                 m_open = false;
                 co_return std::unexpected{routing::link_failure::not_sent};
             }
@@ -249,7 +250,7 @@
     bool pass_on(const sql::request& request) {
         m_owner.asked.push_back(request.id);
         m_state = request.what.kind == sql::statement_kind::begin ? sql::transaction_state::open : m_state;
-        ++m_owed;
+        ++m_pending;
         return m_open;
     }
     [[nodiscard]] bool open() const { return m_open; }
@@ -257,17 +258,17 @@
 
 private:
     fake_owner& m_owner;
-    int m_owed{0};
+    int m_pending{0};
     sql::transaction_state m_state{sql::transaction_state::idle};
     bool m_open{true};
 };
 
-/// Opens connections to fake servers by id (routing::link_connector).
+/// Opens connections to fake servers by id (models routing::link_connector).
 struct fake_connector {
     using link = fake_link;
     using relay = fake_relay;
 
-    /// Sessions at other proxies by their port: what they answer.
+    /// Connection owners by port.
     std::map<unsigned short, fake_owner> owners;
 
     asio::awaitable<std::unique_ptr<fake_relay>> open_relay(tcp::endpoint owner, session::session_opening opening,
@@ -294,8 +295,8 @@
     static std::optional<sql::server_status> status_of(const sql::reply&) { return std::nullopt; }
 };
 
-/// A registry of one service: a primary `p` here, replicas `r1` here and `r2`
-/// in another data centre.
+/// A registry of one service: the primary `p` and the replica `r1` in this data
+/// centre, the replica `r2` in another one.
 [[nodiscard]] inline routing::registry three_servers() {
     routing::registry out;
     out.version = 1;
@@ -310,8 +311,8 @@
     return out;
 }
 
-/// Databases `strict` (primary), `fresh` (bounded staleness) and `own`
-/// (read your writes) of that service.
+/// The databases `strict` (primary), `fresh` (bounded staleness) and `own` (read
+/// your writes) of the service of `three_servers`.
 [[nodiscard]] inline routing::configuration three_databases(std::uint64_t version = 1) {
     using namespace std::chrono_literals;
     routing::configuration out;
--- a/tests/unit/promotions.cpp
+++ b/tests/unit/promotions.cpp
@@ -126,7 +126,7 @@
         out.push_back({choice, {1, 10}, false, in.leader == choice});
         co_return out;
     }
-    asio::awaitable<bool> leads_now(std::string, std::string id, std::chrono::milliseconds) {
+    asio::awaitable<bool> is_primary_now(std::string, std::string id, std::chrono::milliseconds) {
         co_return in.old_answers_again&& in.leader == id;
     }
     asio::awaitable<bool> await_leadership(std::string, std::string id, std::chrono::milliseconds) {
