--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -272,7 +272,7 @@
     std::vector<std::string> m_joined;
     /// The others were read from the store.
     bool m_listed{false};
-    std::vector<session::proxy_place> m_places;
+    std::vector<session::proxy_node> m_places;
     /// Whether these were all that are in the table.
     bool m_places_complete{false};
     std::minstd_rand m_random{std::random_device{}()};
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -140,7 +140,7 @@
     if (!m_listed && boot_clock::now() - m_started < unknown_for) {
         return;
     }
-    std::vector<session::proxy_place> places{{m_settings.name, m_settings.data_center, m_settings.sessions}};
+    std::vector<session::proxy_node> places{{m_settings.name, m_settings.data_center, m_settings.sessions}};
     for (const auto& [name, item] : m_members.peers()) {
         places.push_back({name, item.data_center, {item.address.address(), m_settings.sessions.port()}});
     }
--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -85,7 +85,7 @@
         if (limits == m_config.services.end() || m_places.empty()) {
             continue;
         }
-        for (const auto& owner : session::share_connections(name, limits->second.max_connections, m_places).owners) {
+        for (const auto& owner : session::allocate_connections(name, limits->second.max_connections, m_places).owners) {
             out.insert(owner.name);
         }
     }
@@ -183,7 +183,7 @@
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::take_reports(const peer_message& message, const asio::ip::udp::endpoint& from,
                                                      time_point counted_from) {
-    const session::proxy_place peer{message.sender, message.data_center, {from.address(), m_settings.sessions.port()}};
+    const session::proxy_node peer{message.sender, message.data_center, {from.address(), m_settings.sessions.port()}};
     std::vector<peer_sight> seen;
     for (const auto& item : message.primaries) {
         peer_sight sight{.service = item.service,
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -76,7 +76,7 @@
     const auto at = m_followed.at(place(followed::configuration)).current_at();
     if (at > m_proof_told) {
         m_proof_told = at;
-        m_bridge.prove_configuration(at);
+        m_bridge.confirm_configuration(at);
     }
 }
 
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -32,7 +32,7 @@
     boot_clock::time_point confirmed_at;
     std::optional<routing::freshness_sample> sample;
     /// The peer, and when it last heard that primary.
-    session::proxy_place peer;
+    session::proxy_node peer;
     boot_clock::time_point heard_at;
     /// The server that the peer reports on, and the furthest position that it
     /// is known to have named while it led.
@@ -55,11 +55,11 @@
         asio::post(m_executor, [this, value = std::move(value)]() mutable { m_host.update(std::move(value)); });
     }
 
-    void prove_configuration(boot_clock::time_point at) {
-        asio::post(m_executor, [this, at] { m_host.prove_configuration(at); });
+    void confirm_configuration(boot_clock::time_point at) {
+        asio::post(m_executor, [this, at] { m_host.confirm_configuration(at); });
     }
 
-    void set_proxies(std::vector<session::proxy_place> places, bool complete) {
+    void set_proxies(std::vector<session::proxy_node> places, bool complete) {
         asio::post(m_executor, [this, places = std::move(places), complete]() mutable {
             m_host.set_proxies(std::move(places), complete);
         });
@@ -115,7 +115,7 @@
 
     void take_one(const peer_sight& seen) {
         if (!seen.primary.empty()) {
-            m_host.note_path(seen.service, seen.peer, seen.heard_at);
+            m_host.record_primary_path(seen.service, seen.peer, seen.heard_at);
         }
         if (seen.furthest) {
             m_host.note_told(seen.service, {seen.reported, *seen.furthest});
--- a/src/cornellever/session/caller.hpp
+++ b/src/cornellever/session/caller.hpp
@@ -35,12 +35,13 @@
 };
 
 /// The caller ended its session or its connection is gone.
-struct caller_left {};
+struct caller_disconnected {};
 
 /// The caller sent nothing until the time given.
-struct caller_silent {};
+struct caller_timed_out {};
 
-using caller_event = std::variant<session_opening, sql::request, malformed_input, caller_left, caller_silent>;
+using caller_event =
+    std::variant<session_opening, sql::request, malformed_input, caller_disconnected, caller_timed_out>;
 
 /// The connection of one caller.
 template <typename T>
--- a/src/cornellever/session/conversation.hpp
+++ b/src/cornellever/session/conversation.hpp
@@ -20,7 +20,7 @@
     /// The caller is waited for, resting or inside a transaction.
     bool waited_for{false};
     /// Closes it unless a request has arrived meanwhile.
-    std::function<void()> close_if_quiet;
+    std::function<void()> close_if_no_input;
 };
 
 /// Who runs a session's statements: this proxy, one that owns the scarce
--- a/src/cornellever/session/operation_limits.hpp
+++ b/src/cornellever/session/operation_limits.hpp
@@ -18,7 +18,7 @@
     /// Has one operation of an account granted.
     std::function<asio::awaitable<limits::limit_verdict>(std::string account, accounts::rate_limit limit)> admit{};
     /// Takes the proxies that there are, and whether these are known to be all.
-    std::function<void(const std::vector<proxy_place>& proxies, bool complete)> set_proxies{};
+    std::function<void(const std::vector<proxy_node>& proxies, bool complete)> set_proxies{};
 };
 
 } // namespace cornellever::session
--- a/src/cornellever/session/ownership.cpp
+++ b/src/cornellever/session/ownership.cpp
@@ -28,11 +28,12 @@
 
 } // namespace
 
-bool ownership::owns(std::string_view proxy) const {
+bool connection_ownership::owns(std::string_view proxy) const {
     return owners.empty() || std::ranges::any_of(owners, [&](const auto& item) { return item.name == proxy; });
 }
 
-ownership share_connections(std::string_view service, std::size_t limit, std::span<const proxy_place> proxies) {
+connection_ownership allocate_connections(std::string_view service, std::size_t limit,
+                                          std::span<const proxy_node> proxies) {
     const auto each = routing::connections_per_proxy(limit, proxies.size());
     if (each >= 2 || proxies.size() < few_proxies) {
         return {{},
@@ -41,7 +42,7 @@
     }
     const auto usable = routing::shared_connections(limit);
     const auto wanted = std::clamp<std::size_t>(usable / wanted_connections, 1, std::min(proxies.size(), most_owners));
-    using ranked_place = std::pair<std::uint64_t, const proxy_place*>;
+    using ranked_place = std::pair<std::uint64_t, const proxy_node*>;
     std::map<std::string_view, std::vector<ranked_place>> by_place;
     for (const auto& item : proxies) {
         by_place[item.data_center].emplace_back(stable_hash({service, "/", item.name}), &item);
@@ -49,7 +50,7 @@
     for (auto& [place, items] : by_place) {
         std::ranges::sort(items, {}, &ranked_place::first);
     }
-    ownership out;
+    connection_ownership out;
     // One of each data centre in turn: a session finds an owner nearby.
     for (std::size_t rank = 0; out.owners.size() < wanted; ++rank) {
         for (const auto& [place, items] : by_place) {
@@ -59,7 +60,8 @@
         }
     }
     out.connections_each = std::max<std::size_t>(1, usable / out.owners.size());
-    out.each_under_load = std::max(out.connections_each, routing::connections_under_load(limit) / out.owners.size());
+    out.connections_each_under_load =
+        std::max(out.connections_each, routing::connections_under_load(limit) / out.owners.size());
     return out;
 }
 
--- a/src/cornellever/session/planned_stop.hpp
+++ b/src/cornellever/session/planned_stop.hpp
@@ -12,13 +12,13 @@
 struct stop_actions {
     /// A session is closed right behind an answer, with which its caller was
     /// waited for: no request of it can be on its way.
-    bool close_answered{false};
+    bool close_after_answer{false};
     /// Sessions that rest are closed, although a request may just be on its way.
-    bool close_resting{false};
+    bool close_idle_sessions{false};
     /// Transactions still open are undone with their next statement.
-    bool end_transactions{false};
+    bool abort_transactions{false};
     /// Sessions whose callers rest inside a transaction are closed.
-    bool close_transactions{false};
+    bool close_idle_in_transaction{false};
     /// The process ends.
     bool exit{false};
 };
@@ -37,10 +37,10 @@
     [[nodiscard]] stop_actions at(boot_clock::time_point now, std::size_t sessions) const {
         const auto since = now - m_begun;
         const auto noticed = std::min<boot_clock::duration>(balancer_notices, m_grace * 2 / 5);
-        return {.close_answered = since >= noticed,
-                .close_resting = since >= noticed + std::min<boot_clock::duration>(answers_awaited, m_grace / 5),
-                .end_transactions = since >= m_grace / 2,
-                .close_transactions = since >= m_grace * 3 / 5,
+        return {.close_after_answer = since >= noticed,
+                .close_idle_sessions = since >= noticed + std::min<boot_clock::duration>(answers_awaited, m_grace / 5),
+                .abort_transactions = since >= m_grace / 2,
+                .close_idle_in_transaction = since >= m_grace * 3 / 5,
                 .exit = since >= m_grace - kill_margin || (since >= noticed + last_answers && sessions == 0)};
     }
 
--- a/src/cornellever/session/primary_paths.cpp
+++ b/src/cornellever/session/primary_paths.cpp
@@ -4,15 +4,15 @@
 
 namespace cornellever::session {
 
-void primary_paths::note(const std::string& service, const proxy_place& through, time_point heard_at) {
+void primary_paths::note(const std::string& service, const proxy_node& through, time_point heard_at) {
     auto& known = m_paths[service][through.name];
     known.through = through;
     known.heard_at = std::max(known.heard_at, heard_at);
 }
 
-std::vector<proxy_place> primary_paths::through(std::string_view service, std::uint64_t session, time_point now,
-                                                time_point heard_here) const {
-    std::vector<proxy_place> out;
+std::vector<proxy_node> primary_paths::through(std::string_view service, std::uint64_t session, time_point now,
+                                               time_point heard_here) const {
+    std::vector<proxy_node> out;
     const auto found = m_paths.find(service);
     if (found == m_paths.end()) {
         return out;
--- a/src/cornellever/session/primary_paths.hpp
+++ b/src/cornellever/session/primary_paths.hpp
@@ -20,18 +20,18 @@
     using time_point = boot_clock::time_point;
 
     /// `through` heard the primary of a service at `heard_at`.
-    void note(const std::string& service, const proxy_place& through, time_point heard_at);
+    void note(const std::string& service, const proxy_node& through, time_point heard_at);
 
     /// Those that heard it lately, and clearly later than this proxy itself did
     /// (`heard_here`), in the order in which a session tries them: sessions are
     /// spread over all of them. Nobody hears a primary that is lost, so that
     /// none is told of then.
-    [[nodiscard]] std::vector<proxy_place> through(std::string_view service, std::uint64_t session, time_point now,
-                                                   time_point heard_here) const;
+    [[nodiscard]] std::vector<proxy_node> through(std::string_view service, std::uint64_t session, time_point now,
+                                                  time_point heard_here) const;
 
 private:
     struct path {
-        proxy_place through;
+        proxy_node through;
         time_point heard_at;
     };
 
--- a/src/cornellever/session/relay.cpp
+++ b/src/cornellever/session/relay.cpp
@@ -2,10 +2,11 @@
 
 namespace cornellever::session {
 
-std::vector<proxy_place> relay_order(const ownership& shared, std::string_view data_center, std::uint64_t session) {
+std::vector<proxy_node> relay_order(const connection_ownership& shared, std::string_view data_center,
+                                    std::uint64_t session) {
     auto out = shared.owners;
     const auto others =
-        std::ranges::stable_partition(out, [&](const proxy_place& item) { return item.data_center == data_center; });
+        std::ranges::stable_partition(out, [&](const proxy_node& item) { return item.data_center == data_center; });
     const auto near_end = others.begin();
     const auto turn = [session](auto from, auto to) {
         if (from != to) {
--- a/src/cornellever/session/relay.hpp
+++ b/src/cornellever/session/relay.hpp
@@ -23,10 +23,10 @@
 concept relayed_session = requires(T peer, const sql::request& request, boot_clock::time_point until) {
     /// The peer's answer. `not_sent` also where the peer took no session, or
     /// refused a request that was passed on before.
-    { peer.ask(request, until) } -> std::same_as<asio::awaitable<routing::link_reply>>;
-    /// Passes a request on whose answer is known; the next `ask` looks whether
+    { peer.run_request(request, until) } -> std::same_as<asio::awaitable<routing::link_reply>>;
+    /// Passes a request on whose answer is known; the next `run_request` looks whether
     /// it came so. False when nothing was sent.
-    { peer.pass_on(request) } -> std::same_as<bool>;
+    { peer.pipeline(request) } -> std::same_as<bool>;
     { peer.open() } -> std::same_as<bool>;
     {peer.close()};
 };
@@ -61,7 +61,7 @@
 
 /// The owners in the order in which a session tries them: those of the same
 /// data centre first, sessions spread over them by number.
-[[nodiscard]] std::vector<proxy_place> relay_order(const ownership& shared, std::string_view data_center,
-                                                   std::uint64_t session);
+[[nodiscard]] std::vector<proxy_node> relay_order(const connection_ownership& shared, std::string_view data_center,
+                                                  std::uint64_t session);
 
 } // namespace cornellever::session
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -61,18 +61,18 @@
     void update(routing::registry servers);
 
     /// The configuration at hand, or an older one, was the newest at `at`.
-    void prove_configuration(boot_clock::time_point at) { m_gate.prove(at); }
+    void confirm_configuration(boot_clock::time_point at) { m_gate.prove(at); }
 
     /// The proxies that share each server's connections, this one among them;
     /// none while they are not known yet. `complete` is whether these are known
     /// to be all.
-    void set_proxies(std::vector<proxy_place> proxies, bool complete = true);
+    void set_proxies(std::vector<proxy_node> proxies, bool complete = true);
 
     /// Has operations of accounts counted from now on.
-    void keep_limits(operation_limits how) { m_limits = std::move(how); }
+    void set_operation_limits(operation_limits how) { m_limits = std::move(how); }
 
     /// Another proxy heard the primary of a service at `heard_at`.
-    void note_path(const std::string& service, const proxy_place& through, boot_clock::time_point heard_at) {
+    void record_primary_path(const std::string& service, const proxy_node& through, boot_clock::time_point heard_at) {
         m_paths.note(service, through, heard_at);
     }
 
@@ -96,16 +96,16 @@
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
 
     /// From now on sessions end behind their next answer outside a transaction.
-    void close_answered() { m_closing = true; }
+    void close_after_answer() { m_closing = true; }
 
     /// Ends the sessions that rest; later ones end as they come to rest.
-    void close_resting();
+    void close_idle_sessions();
 
     /// Ends the sessions whose callers rest inside a transaction.
-    void close_transactions();
+    void close_idle_in_transaction();
 
     /// From now on open transactions are ended too.
-    void end_transactions() { m_ending_transactions = true; }
+    void abort_transactions() { m_ending_transactions = true; }
 
     [[nodiscard]] std::size_t sessions() const noexcept { return m_sessions.size(); }
     [[nodiscard]] const routing::configuration& config() const noexcept { return m_config; }
@@ -126,19 +126,19 @@
     [[nodiscard]] bool owns(const std::string& database);
     asio::awaitable<void> await_configuration();
     asio::awaitable<void> await_proxies();
-    [[nodiscard]] const ownership& share_of(const std::string& service);
+    [[nodiscard]] const connection_ownership& share_of(const std::string& service);
     void share_connections_anew();
-    [[nodiscard]] std::vector<proxy_place> ways_round(const std::string& database, std::uint64_t session) const;
+    [[nodiscard]] std::vector<proxy_node> ways_round(const std::string& database, std::uint64_t session) const;
     void watch_paths();
     void close_cut_off();
     void place_session(conversation& with);
     [[nodiscard]] bool doubted(const part_elsewhere& part) const;
     [[nodiscard]] std::uint64_t turn_of(const conversation& with) const;
-    [[nodiscard]] std::vector<proxy_place> peers_for(const conversation& with);
+    [[nodiscard]] std::vector<proxy_node> peers_for(const conversation& with);
     asio::awaitable<bool> reach_peer(conversation& with);
     [[nodiscard]] std::optional<sql::reply> note_for_peer(conversation& with, const sql::request& asked);
     static sql::reply after_failure(part_elsewhere& part, const sql::request& asked);
-    static void pass_on(part_elsewhere& part, const sql::request& asked);
+    static void pipeline(part_elsewhere& part, const sql::request& asked);
     [[nodiscard]] static bool writes(const conversation& with, const sql::request& asked);
     asio::awaitable<routing::link_reply> run_at_peer(conversation& with, const sql::request& asked,
                                                      boot_clock::time_point until);
@@ -196,12 +196,12 @@
     std::string m_data_center;
     routing::configuration m_config;
     routing::registry m_registry;
-    std::vector<proxy_place> m_proxies;
+    std::vector<proxy_node> m_proxies;
     primary_paths m_paths;
     /// Proxies that took no session or ended it, and when.
     std::map<std::string, boot_clock::time_point, std::less<>> m_unreached;
     /// By service, worked out when first asked for.
-    std::map<std::string, ownership, std::less<>> m_shares;
+    std::map<std::string, connection_ownership, std::less<>> m_shares;
     traffic_counters m_counters;
     accounts::gate m_gate;
     operation_limits m_limits;
--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -88,21 +88,21 @@
 }
 
 template <routing::link_connector Connector>
-void traffic<Connector>::close_resting() {
+void traffic<Connector>::close_idle_sessions() {
     m_closing = true;
     m_closing_resting = true;
     for (auto* item : m_sessions) {
         if (item->status.resting) {
-            item->status.close_if_quiet();
+            item->status.close_if_no_input();
         }
     }
 }
 
 template <routing::link_connector Connector>
-void traffic<Connector>::close_transactions() {
+void traffic<Connector>::close_idle_in_transaction() {
     for (auto* item : m_sessions) {
         if (item->status.waited_for && !item->status.resting) {
-            item->status.close_if_quiet();
+            item->status.close_if_no_input();
         }
     }
 }
@@ -139,7 +139,7 @@
     with.state.database = opening->database;
     with.state.key = opening->key;
     with.state.last_commit = opening->last_commit;
-    with.status.close_if_quiet = [&caller] { caller.close_if_quiet(); };
+    with.status.close_if_no_input = [&caller] { caller.close_if_no_input(); };
     with.relayed = opening->relayed;
     m_sessions.insert(&with);
     ++m_counters.sessions_opened;
@@ -150,7 +150,7 @@
         const bool closing = m_closing_resting || (m_closing && answered);
         // A request that has arrived is still answered: the caller could not
         // know that the session was about to end.
-        if (closing && with.status.resting && caller.close_if_quiet()) {
+        if (closing && with.status.resting && caller.close_if_no_input()) {
             break;
         }
         with.status.waited_for = true;
@@ -185,7 +185,7 @@
             caller.send(refused(sql::refusal::malformed, garbled->why, state_of(with)));
             continue;
         }
-        if (std::holds_alternative<caller_silent>(happened) && with.open) {
+        if (std::holds_alternative<caller_timed_out>(happened) && with.open) {
             // The connection that the transaction holds is wanted by others.
             log_event(event::transaction_abandoned, "database=" + with.state.database + " reason=idle");
             m_engine.undo(*with.open);
--- a/src/cornellever/session/traffic_relay.ipp
+++ b/src/cornellever/session/traffic_relay.ipp
@@ -43,7 +43,7 @@
 /// The other proxies that may run a session's next operation, in the order in
 /// which they are tried.
 template <routing::link_connector Connector>
-std::vector<proxy_place> traffic<Connector>::peers_for(const conversation& with) {
+std::vector<proxy_node> traffic<Connector>::peers_for(const conversation& with) {
     if (with.where == served_by::way_round) {
         return ways_round(with.state.database, with.state.id);
     }
@@ -53,7 +53,7 @@
     }
     auto out = relay_order(share_of(route->second.service), m_data_center, turn_of(with));
     const auto now = boot_clock::now();
-    std::ranges::stable_partition(out, [&](const proxy_place& item) {
+    std::ranges::stable_partition(out, [&](const proxy_node& item) {
         const auto found = m_unreached.find(item.name);
         return found == m_unreached.end() || now - found->second > unreached_for;
     });
@@ -80,7 +80,7 @@
             with.elsewhere.name = peer.name;
             with.elsewhere.opened_at = boot_clock::now();
             for (auto& item : statements_of(with.state)) {
-                (void)with.elsewhere.peer->pass_on({std::string{replay_id}, std::move(item)});
+                (void)with.elsewhere.peer->pipeline({std::string{replay_id}, std::move(item)});
             }
             co_return true;
         }
@@ -101,17 +101,17 @@
     switch (kind) {
     case sql::statement_kind::set:
         with.state.values.insert_or_assign(asked.what.name, asked.what.text);
-        pass_on(part, asked);
+        pipeline(part, asked);
         return acknowledged(part.state);
     case sql::statement_kind::prepare:
         with.state.prepared.insert_or_assign(asked.what.name, prepared_statement{asked.what.touches, asked.what.text});
-        pass_on(part, asked);
+        pipeline(part, asked);
         return acknowledged(part.state);
     case sql::statement_kind::deallocate:
         if (with.state.prepared.erase(asked.what.name) == 0) {
             return refused(sql::refusal::no_such_prepared_statement, asked.what.name, part.state);
         }
-        pass_on(part, asked);
+        pipeline(part, asked);
         return acknowledged(part.state);
     case sql::statement_kind::begin:
     case sql::statement_kind::begin_read_only:
@@ -128,7 +128,7 @@
         return acknowledged(part.state);
     case sql::statement_kind::rollback:
         if (!std::exchange(part.begun, std::nullopt) && part.state == sql::transaction_state::open) {
-            pass_on(part, asked);
+            pipeline(part, asked);
         }
         part.state = sql::transaction_state::idle;
         return acknowledged(part.state);
@@ -154,7 +154,7 @@
     if (!commit && asked.what.kind != sql::statement_kind::rollback) {
         return refused(sql::refusal::malformed, "the transaction failed", sql::transaction_state::failed);
     }
-    pass_on(part, {asked.id, {.kind = sql::statement_kind::rollback}});
+    pipeline(part, {asked.id, {.kind = sql::statement_kind::rollback}});
     part.state = sql::transaction_state::idle;
     if (commit) {
         return refused(sql::refusal::aborted, "the transaction failed", part.state);
@@ -165,8 +165,8 @@
 /// Sends on what the caller was answered already. Where that fails, the session
 /// there is given up: the next statement finds it gone.
 template <routing::link_connector Connector>
-void traffic<Connector>::pass_on(part_elsewhere& part, const sql::request& asked) {
-    if (part.open() && !part.peer->pass_on(asked)) {
+void traffic<Connector>::pipeline(part_elsewhere& part, const sql::request& asked) {
+    if (part.open() && !part.peer->pipeline(asked)) {
         part.peer->close();
     }
 }
@@ -186,11 +186,11 @@
                                                                      boot_clock::time_point until) {
     auto& part = with.elsewhere;
     if (const auto begin = std::exchange(part.begun, std::nullopt)) {
-        pass_on(part, *begin);
+        pipeline(part, *begin);
     }
     part.wrote = part.wrote || writes(with, asked);
     const bool commit = asked.what.kind == sql::statement_kind::commit;
-    auto out = co_await part.peer->ask(asked, until);
+    auto out = co_await part.peer->run_request(asked, until);
     if (!out) {
         part.close();
         co_return out;
--- a/src/cornellever/session/traffic_sharing.ipp
+++ b/src/cornellever/session/traffic_sharing.ipp
@@ -5,7 +5,7 @@
 namespace cornellever::session {
 
 template <routing::link_connector Connector>
-void traffic<Connector>::set_proxies(std::vector<proxy_place> proxies, bool complete) {
+void traffic<Connector>::set_proxies(std::vector<proxy_node> proxies, bool complete) {
     m_proxies = std::move(proxies);
     if (m_limits.set_proxies) {
         m_limits.set_proxies(m_proxies, complete);
@@ -14,11 +14,11 @@
 }
 
 template <routing::link_connector Connector>
-const ownership& traffic<Connector>::share_of(const std::string& service) {
+const connection_ownership& traffic<Connector>::share_of(const std::string& service) {
     auto [at, missing] = m_shares.try_emplace(service);
     const auto limits = m_config.services.find(service);
     if (missing && limits != m_config.services.end() && !m_proxies.empty()) {
-        at->second = share_connections(service, limits->second.max_connections, m_proxies);
+        at->second = allocate_connections(service, limits->second.max_connections, m_proxies);
     }
     return at->second;
 }
@@ -31,7 +31,8 @@
         // One that was an owner until now still serves the sessions it has.
         const auto sharers = shared.owners.empty() ? m_proxies.size() : shared.owners.size();
         const bool owned = shared.owns(m_name);
-        backends->set_budget(owned ? shared.connections_each : 1, sharers, owned, owned ? shared.each_under_load : 1);
+        backends->set_budget(owned ? shared.connections_each : 1, sharers, owned,
+                             owned ? shared.connections_each_under_load : 1);
     }
 }
 
@@ -54,7 +55,7 @@
 
 /// The proxies that reach the primary of a database while this one does not.
 template <routing::link_connector Connector>
-std::vector<proxy_place> traffic<Connector>::ways_round(const std::string& database, std::uint64_t session) const {
+std::vector<proxy_node> traffic<Connector>::ways_round(const std::string& database, std::uint64_t session) const {
     const auto route = m_config.routes.find(database);
     const auto found = route == m_config.routes.end() ? m_pools.end() : m_pools.find(route->second.service);
     if (found == m_pools.end() || !found->second->primary_silent_for(cut_after)) {
@@ -79,7 +80,7 @@
 void traffic<Connector>::close_cut_off() {
     for (auto* item : m_sessions) {
         if (item->relayed && item->status.resting && !ways_round(item->state.database, 0).empty()) {
-            item->status.close_if_quiet();
+            item->status.close_if_no_input();
         }
     }
 }
--- a/tests/platform/wire.cpp
+++ b/tests/platform/wire.cpp
@@ -265,8 +265,8 @@
     }
 
     /// So many places, the entry's own first; all others are the owner's.
-    [[nodiscard]] std::vector<session::proxy_place> places(int count) const {
-        std::vector<session::proxy_place> out{{"a", "here", entry.here}};
+    [[nodiscard]] std::vector<session::proxy_node> places(int count) const {
+        std::vector<session::proxy_node> out{{"a", "here", entry.here}};
         for (int i = 1; i < count; ++i) {
             out.push_back({"p" + std::to_string(i), "here", owner.here});
         }
@@ -331,7 +331,7 @@
     two_proxies path{8, 27341};
     tcp::acceptor silent{path.io, tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0}};
     auto places = path.places(20);
-    const auto order = session::relay_order(session::share_connections("stock", 8, places), "here", 1);
+    const auto order = session::relay_order(session::allocate_connections("stock", 8, places), "here", 1);
     BOOST_TEST_REQUIRE(order.size() >= 2U);
     for (auto& item : places) {
         item.sessions = item.name == order.front().name ? silent.local_endpoint() : item.sessions;
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -311,7 +311,7 @@
 // comes free is the large one's and goes to its next request.
 BOOST_AUTO_TEST_CASE(a_small_account_does_not_wait_behind_a_large_one) {
     proxy_with_accounts proxy;
-    proxy.host.set_proxies(places(8));
+    proxy.host.set_proxies(make_proxies(8));
     std::vector<caller_script> scripts(7);
     for (int i = 0; i < 6; ++i) {
         auto& events = scripts[static_cast<std::size_t>(i)].events;
@@ -366,10 +366,11 @@
             all.push_back(&item);
         }
         proxy.play_together(all, [&] { proxy.host.tick(); });
-        const auto shared = session::share_connections("stock", config.services.at("stock").max_connections, places(3));
-        BOOST_TEST_REQUIRE(shared.each_under_load > shared.connections_each);
+        const auto shared =
+            session::allocate_connections("stock", config.services.at("stock").max_connections, make_proxies(3));
+        BOOST_TEST_REQUIRE(shared.connections_each_under_load > shared.connections_each);
         const auto most = static_cast<std::size_t>(primary.most_open);
-        BOOST_TEST(most <= (full ? shared.connections_each : shared.each_under_load));
+        BOOST_TEST(most <= (full ? shared.connections_each : shared.connections_each_under_load));
         BOOST_TEST((full || most > shared.connections_each));
     }
 }
@@ -451,13 +452,13 @@
     proxy.connector.servers["p"].leads = true;
     host.update(with_accounts(2));
     host.update(three_servers());
-    host.set_proxies(places(3));
-    host.prove_configuration(boot_clock::now());
+    host.set_proxies(make_proxies(3));
+    host.confirm_configuration(boot_clock::now());
     caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::read, "1"),
                                     ask("b", statement_kind::write, "1 x"), ask("c", statement_kind::write, "1 x")}};
     caller_script keyless{.events = {opening_with("open", "nobody"), ask("d", statement_kind::read, "1")}};
-    caller.before[2] = [&] { host.prove_configuration(boot_clock::now() - 1s); };
-    caller.before[3] = [&] { host.prove_configuration(boot_clock::now()); };
+    caller.before[2] = [&] { host.confirm_configuration(boot_clock::now() - 1s); };
+    caller.before[3] = [&] { host.confirm_configuration(boot_clock::now()); };
     asio::co_spawn(
         proxy.io,
         [&]() -> asio::awaitable<void> {
--- a/tests/unit/fake_caller.hpp
+++ b/tests/unit/fake_caller.hpp
@@ -35,12 +35,12 @@
         // Lets the pool take connections back before the next statement.
         co_await sleep_for(std::chrono::milliseconds{2});
         if (m_script->closed || m_script->events.empty()) {
-            co_return session::caller_left{};
+            co_return session::caller_disconnected{};
         }
         auto out = std::move(m_script->events.front());
         m_script->events.pop_front();
         ++m_script->taken;
-        if (std::holds_alternative<session::caller_silent>(out)) {
+        if (std::holds_alternative<session::caller_timed_out>(out)) {
             co_await sleep_for(std::chrono::milliseconds{to_ms(until - boot_clock::now())});
         }
         co_return out;
@@ -48,7 +48,7 @@
     void welcome() { m_script->welcomed = true; }
     void send(const sql::reply& answer) { m_script->answers.push_back(answer); }
     void refuse(const sql::statement_error& error) { m_script->refusals.push_back(error); }
-    bool close_if_quiet() {
+    bool close_if_no_input() {
         if (!m_script->events.empty()) {
             return false;
         }
--- a/tests/unit/fake_link.hpp
+++ b/tests/unit/fake_link.hpp
@@ -227,7 +227,7 @@
 public:
     explicit fake_relay(fake_owner& owner) : m_owner{owner} {}
 
-    asio::awaitable<routing::link_reply> ask(const sql::request& request, boot_clock::time_point) {
+    asio::awaitable<routing::link_reply> run_request(const sql::request& request, boot_clock::time_point) {
         for (; m_owed > 0; --m_owed) {
             if (m_owner.answers-- <= 0 || m_owner.refuses_passed_on) {
                 m_open = false;
@@ -246,7 +246,7 @@
         m_state = out.state;
         co_return out;
     }
-    bool pass_on(const sql::request& request) {
+    bool pipeline(const sql::request& request) {
         m_owner.asked.push_back(request.id);
         m_state = request.what.kind == sql::statement_kind::begin ? sql::transaction_state::open : m_state;
         ++m_owed;
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -384,7 +384,7 @@
     config.accounts.add({.name = "yard", .limit = accounts::rate_limit{1, 1}});
     config.accounts.add_key(accounts::key_digest::of("key"), "yard");
     int left = 2;
-    proxy.host.keep_limits({.admit = [&](std::string, accounts::rate_limit) -> asio::awaitable<limit_verdict> {
+    proxy.host.set_operation_limits({.admit = [&](std::string, accounts::rate_limit) -> asio::awaitable<limit_verdict> {
         co_return left-- > 0 ? limit_verdict{} : limit_verdict{limit_verdict::kind::used_up, 700ms, 1};
     }});
     proxy.host.update(config);
--- a/tests/unit/path_cut.cpp
+++ b/tests/unit/path_cut.cpp
@@ -12,7 +12,7 @@
 /// A proxy that has used the primary and can't reach it any more, and another,
 /// at port 2000, that may.
 struct proxy_cut_off : proxy_in_memory {
-    session::proxy_place peer{"peer", "there", {asio::ip::make_address("10.0.0.2"), 2000}};
+    session::proxy_node peer{"peer", "there", {asio::ip::make_address("10.0.0.2"), 2000}};
 
     proxy_cut_off() {
         connector.owners[2000];
@@ -30,7 +30,7 @@
                 const auto begun = boot_clock::now();
                 while (boot_clock::now() - begun < span) {
                     if (peer_hears) {
-                        host.note_path("stock", peer, boot_clock::now());
+                        host.record_primary_path("stock", peer, boot_clock::now());
                     }
                     host.tick();
                     co_await sleep_for(20ms);
--- a/tests/unit/proxy_in_memory.hpp
+++ b/tests/unit/proxy_in_memory.hpp
@@ -11,8 +11,8 @@
 namespace cornellever::test {
 
 /// Proxies `a`, `b` and so on in two data centres.
-[[nodiscard]] inline std::vector<session::proxy_place> places(std::size_t count) {
-    std::vector<session::proxy_place> out;
+[[nodiscard]] inline std::vector<session::proxy_node> make_proxies(std::size_t count) {
+    std::vector<session::proxy_node> out;
     for (std::size_t i = 0; i < count; ++i) {
         out.push_back({std::string(1, static_cast<char>('a' + i)),
                        i % 2 == 0 ? "here" : "there",
@@ -37,7 +37,7 @@
         connector.servers["p"].leads = true;
         host.update(three_databases());
         host.update(three_servers());
-        host.set_proxies(places(3));
+        host.set_proxies(make_proxies(3));
     }
 
     /// Runs `what` while a script is played.
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -26,8 +26,8 @@
             .typical = std::chrono::duration<double, std::milli>{typical_ms}};
 }
 
-std::vector<session::proxy_place> many_places(int count) {
-    std::vector<session::proxy_place> out;
+std::vector<session::proxy_node> many_places(int count) {
+    std::vector<session::proxy_node> out;
     for (int i = 0; i < count; ++i) {
         out.push_back({"proxy-" + std::to_string(i), i % 2 == 0 ? "here" : "there", {}});
     }
@@ -86,7 +86,7 @@
         for (std::size_t proxies = 1; proxies <= limit / 2; ++proxies) {
             BOOST_TEST(2 * proxies * routing::connections_per_proxy(limit, proxies) <= limit);
         }
-        const auto many = session::share_connections("stock", limit, many_places(88));
+        const auto many = session::allocate_connections("stock", limit, many_places(88));
         BOOST_TEST(2 * many.owners.size() * many.connections_each <= limit);
     }
 }
@@ -213,16 +213,16 @@
 BOOST_AUTO_TEST_CASE(sessions_are_closed_once_the_balancer_has_noticed) {
     const boot_clock::time_point begun{1h};
     const session::planned_stop stop{begun, 6s};
-    BOOST_TEST(!stop.at(begun + 2s, 5).close_answered);
-    BOOST_TEST(stop.at(begun + 2300ms, 5).close_answered);
-    BOOST_TEST(!stop.at(begun + 2400ms, 5).close_resting);
-    BOOST_TEST(stop.at(begun + 2600ms, 5).close_resting);
-    BOOST_TEST(!stop.at(begun + 3500ms, 5).close_transactions);
-    BOOST_TEST(stop.at(begun + 3700ms, 5).close_transactions);
+    BOOST_TEST(!stop.at(begun + 2s, 5).close_after_answer);
+    BOOST_TEST(stop.at(begun + 2300ms, 5).close_after_answer);
+    BOOST_TEST(!stop.at(begun + 2400ms, 5).close_idle_sessions);
+    BOOST_TEST(stop.at(begun + 2600ms, 5).close_idle_sessions);
+    BOOST_TEST(!stop.at(begun + 3500ms, 5).close_idle_in_transaction);
+    BOOST_TEST(stop.at(begun + 3700ms, 5).close_idle_in_transaction);
     BOOST_TEST(!stop.at(begun + 2200ms, 0).exit);
     BOOST_TEST(stop.at(begun + 2400ms, 0).exit);
-    BOOST_TEST(!stop.at(begun + 2900ms, 5).end_transactions);
-    BOOST_TEST(stop.at(begun + 3s, 5).end_transactions);
+    BOOST_TEST(!stop.at(begun + 2900ms, 5).abort_transactions);
+    BOOST_TEST(stop.at(begun + 3s, 5).abort_transactions);
     BOOST_TEST(!stop.at(begun + 5s, 5).exit);
     BOOST_TEST(stop.at(begun + 5200ms, 5).exit);
 }
--- a/tests/unit/sessions.cpp
+++ b/tests/unit/sessions.cpp
@@ -30,8 +30,8 @@
         auto config = three_databases(2);
         config.services["stock"].max_connections = limit;
         host.update(config);
-        host.set_proxies(places(20));
-        const auto shared = session::share_connections("stock", limit, places(20));
+        host.set_proxies(make_proxies(20));
+        const auto shared = session::allocate_connections("stock", limit, make_proxies(20));
         for (const auto& item : session::relay_order(shared, "here", 1)) {
             owners.push_back(&connector.owners[item.sessions.port()]);
         }
@@ -158,7 +158,7 @@
 // until that statement's own timeout.
 BOOST_AUTO_TEST_CASE(a_lost_answer_does_not_hold_up_the_requests_behind_it) {
     proxy_in_memory proxy;
-    proxy.host.set_proxies(places(8));
+    proxy.host.set_proxies(make_proxies(8));
     proxy.server("p").silent_for = 250ms;
     caller_script first{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
     first.before[1] = [&] { proxy.server("p").lose_answers = 1; };
@@ -236,7 +236,7 @@
 BOOST_AUTO_TEST_CASE(a_transaction_that_rests_too_long_is_ended) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
-                                    ask("w", statement_kind::write, "1 x"), session::caller_silent{},
+                                    ask("w", statement_kind::write, "1 x"), session::caller_timed_out{},
                                     ask("v", statement_kind::write, "2 x"), ask("c", statement_kind::rollback)}};
     proxy.play({&caller});
     BOOST_TEST((why(caller, 2) == refusal::malformed));
@@ -248,7 +248,7 @@
 // that caller before.
 BOOST_AUTO_TEST_CASE(a_connection_holds_exactly_the_values_of_the_session_that_uses_it) {
     proxy_in_memory proxy;
-    proxy.host.set_proxies(places(11));
+    proxy.host.set_proxies(make_proxies(11));
     caller_script first{.events = {opening("strict"), ask("s1", statement_kind::set, "a1", "alpha"),
                                    ask("s2", statement_kind::set, "b1", "beta"), ask("r1", statement_kind::read, "1")}};
     caller_script second{.events = {opening("strict"), ask("s3", statement_kind::set, "a2", "alpha"),
@@ -315,7 +315,7 @@
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
-    caller.before[1] = [&] { proxy.host.close_resting(); };
+    caller.before[1] = [&] { proxy.host.close_idle_sessions(); };
     proxy.play({&caller});
     BOOST_TEST(caller.answers.size() == 2U);
     BOOST_TEST(caller.closed);
@@ -326,7 +326,7 @@
 BOOST_AUTO_TEST_CASE(a_stop_closes_a_session_behind_its_next_answer) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
-    caller.before[1] = [&] { proxy.host.close_answered(); };
+    caller.before[1] = [&] { proxy.host.close_after_answer(); };
     proxy.play({&caller});
     BOOST_TEST(caller.answers.size() == 1U);
     BOOST_TEST(caller.closed);
@@ -337,7 +337,7 @@
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
                                     ask("w", statement_kind::write, "1 x"), ask("v", statement_kind::write, "2 x")}};
-    caller.before[3] = [&] { proxy.host.end_transactions(); };
+    caller.before[3] = [&] { proxy.host.abort_transactions(); };
     proxy.play({&caller});
     BOOST_TEST((why(caller, 2) == refusal::aborted));
 }
@@ -383,10 +383,10 @@
     auto config = three_databases(2);
     config.services["stock"].max_connections = 5;
     proxy.host.update(config);
-    const auto shared = session::share_connections("stock", 5, places(20));
+    const auto shared = session::allocate_connections("stock", 5, make_proxies(20));
     BOOST_TEST_REQUIRE(shared.owners.size() == 1U);
     BOOST_TEST_REQUIRE(!shared.owns("a"));
-    proxy.host.set_proxies(places(20));
+    proxy.host.set_proxies(make_proxies(20));
     auto& owner = proxy.connector.owners[shared.owners.front().sessions.port()];
     owner.answers = 3;
     caller_script caller{.events = {opening("strict"), ask("r", statement_kind::read, "1"),
@@ -526,11 +526,11 @@
     auto config = three_databases(2);
     config.services["stock"].max_connections = 5;
     proxy.host.update(config);
-    const auto shared = session::share_connections("stock", 5, places(20));
+    const auto shared = session::allocate_connections("stock", 5, make_proxies(20));
     auto& owner = proxy.connector.owners[shared.owners.front().sessions.port()];
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1")}};
-    caller.before[2] = [&] { proxy.host.set_proxies(places(20)); };
+    caller.before[2] = [&] { proxy.host.set_proxies(make_proxies(20)); };
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
     BOOST_TEST(proxy.server("p").of("a").size() == 1U);
@@ -548,7 +548,7 @@
         auto config = three_databases(2);
         config.routes.erase("strict");
         proxy.host.update(config);
-        proxy.host.set_proxies(places(20));
+        proxy.host.set_proxies(make_proxies(20));
     });
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
     proxy.play({&caller});
@@ -556,25 +556,25 @@
 }
 
 BOOST_AUTO_TEST_CASE(owners_are_the_same_for_all_and_spread_over_data_centres) {
-    const auto shared = session::share_connections("stock", 22, places(20));
+    const auto shared = session::allocate_connections("stock", 22, make_proxies(20));
     BOOST_TEST(shared.owners.size() == 5U);
     BOOST_TEST(2 * shared.owners.size() * shared.connections_each <= 22U);
-    auto turned = places(20);
+    auto turned = make_proxies(20);
     std::ranges::reverse(turned);
-    BOOST_TEST((session::share_connections("stock", 22, turned).owners == shared.owners));
-    const auto here = std::ranges::count(shared.owners, "here", &session::proxy_place::data_center);
+    BOOST_TEST((session::allocate_connections("stock", 22, turned).owners == shared.owners));
+    const auto here = std::ranges::count(shared.owners, "here", &session::proxy_node::data_center);
     BOOST_TEST(here == 3);
     const auto order = session::relay_order(shared, "there", 7);
     BOOST_TEST(order.size() == 5U);
     BOOST_TEST(order.front().data_center == "there");
     // One proxy more moves at most two owners.
-    const auto more = session::share_connections("stock", 22, places(21));
+    const auto more = session::allocate_connections("stock", 22, make_proxies(21));
     std::size_t kept = 0;
     for (const auto& item : shared.owners) {
         kept += more.owns(item.name) ? 1 : 0;
     }
     BOOST_TEST(kept >= 4U);
-    BOOST_TEST(session::share_connections("stock", 16, places(7)).owners.empty());
+    BOOST_TEST(session::allocate_connections("stock", 16, make_proxies(7)).owners.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
