--- a/src/cornellever/session/ownership.cpp
+++ b/src/cornellever/session/connection_ownership.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/session/ownership.hpp"
+#include "cornellever/session/connection_ownership.hpp"
 
 #include <algorithm>
 #include <cstdint>
--- a/src/cornellever/session/operation_limits.hpp
+++ b/src/cornellever/session/operation_limits.hpp
@@ -8,7 +8,7 @@
 #include "cornellever/accounts/directory.hpp"
 #include "cornellever/core/asio.hpp"
 #include "cornellever/limits/limiter.hpp"
-#include "cornellever/session/ownership.hpp"
+#include "cornellever/session/connection_ownership.hpp"
 
 namespace cornellever::session {
 
--- a/src/cornellever/session/primary_paths.hpp
+++ b/src/cornellever/session/primary_paths.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cornellever/core/boot_clock.hpp"
-#include "cornellever/session/ownership.hpp"
+#include "cornellever/session/connection_ownership.hpp"
 
 namespace cornellever::session {
 
--- a/src/cornellever/session/relay.hpp
+++ b/src/cornellever/session/relay.hpp
@@ -11,8 +11,8 @@
 #include "cornellever/core/asio.hpp"
 #include "cornellever/core/boot_clock.hpp"
 #include "cornellever/routing/backend_link.hpp"
-#include "cornellever/session/answers.hpp"
-#include "cornellever/session/ownership.hpp"
+#include "cornellever/session/connection_ownership.hpp"
+#include "cornellever/session/replies.hpp"
 #include "cornellever/session/session_state.hpp"
 #include "cornellever/sql/statement.hpp"
 
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -11,7 +11,7 @@
 #include "cornellever/core/scoped_count.hpp"
 #include "cornellever/routing/admission.hpp"
 #include "cornellever/routing/service_pool.hpp"
-#include "cornellever/session/answers.hpp"
+#include "cornellever/session/replies.hpp"
 #include "cornellever/session/session_state.hpp"
 #include "cornellever/session/traffic_counters.hpp"
 
@@ -124,6 +124,6 @@
 } // namespace cornellever::session
 
 #include "cornellever/session/statement_engine.ipp"
+#include "cornellever/session/statement_outcomes.ipp"
 #include "cornellever/session/statement_permission.ipp"
 #include "cornellever/session/statement_transactions.ipp"
-#include "cornellever/session/statement_verdicts.ipp"
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -7,7 +7,7 @@
 #include "cornellever/routing/placement.hpp"
 #include "cornellever/routing/waiting_line.hpp"
 #include "cornellever/session/connection_memory.hpp"
-#include "cornellever/session/ownership.hpp"
+#include "cornellever/session/connection_ownership.hpp"
 #include "cornellever/session/planned_stop.hpp"
 #include "cornellever/session/serve_settings.hpp"
 
