--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -32,7 +32,7 @@
     std::string account{};
     /// When it was last handed back.
     boot_clock::time_point used_at{};
-    session::connection_memory memory;
+    session::connection_session_state memory;
     /// In use by a request, or by the pool's own housekeeping.
     bool busy{false};
     /// Held by a transaction whose caller is between two statements.
--- a/src/cornellever/session/connection_memory.cpp
+++ b/src/cornellever/session/connection_memory.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-bool holds_foreign_value(const session_state& session, const connection_memory& memory) {
+bool holds_foreign_value(const session_state& session, const connection_session_state& memory) {
     return std::ranges::any_of(memory.values, [&](const auto& item) { return !session.values.contains(item.first); });
 }
 
-bool holds_same(const connection_memory& memory, const std::string& name, const std::string& value) {
+bool holds_same(const connection_session_state& memory, const std::string& name, const std::string& value) {
     const auto found = memory.values.find(name);
     return found != memory.values.end() && found->second == value;
 }
@@ -21,7 +21,7 @@
     return (what.touches == sql::access::read ? "r_" : "w_") + what.shape;
 }
 
-std::vector<sql::statement> plan_replay(const session_state& session, connection_memory& memory,
+std::vector<sql::statement> plan_replay(const session_state& session, connection_session_state& memory,
                                         const prepared_statement* needed) {
     std::vector<sql::statement> out;
     if (holds_foreign_value(session, memory)) {
@@ -44,7 +44,7 @@
     return out;
 }
 
-std::size_t replay_cost(const session_state& session, const connection_memory& memory) {
+std::size_t replay_cost(const session_state& session, const connection_session_state& memory) {
     std::size_t cost = 0;
     const bool reset = holds_foreign_value(session, memory);
     if (reset) {
--- a/src/cornellever/session/connection_memory.hpp
+++ b/src/cornellever/session/connection_memory.hpp
@@ -13,7 +13,7 @@
 
 /// What a backend connection holds from the sessions it served, so that the
 /// next one finds its own values and prepared statements there and no others.
-struct connection_memory {
+struct connection_session_state {
     std::map<std::string, std::string, std::less<>> values;
     /// Names of prepared statements on the connection. A name is made from
     /// what it runs (`prepared_name`), so that sessions share it.
@@ -28,11 +28,11 @@
 /// and, when `needed` is given, that prepared statement; `memory` is brought
 /// up to what they leave. A value that the session lacks needs a reset, which
 /// takes the connection's prepared statements with it.
-[[nodiscard]] std::vector<sql::statement> plan_replay(const session_state& session, connection_memory& memory,
+[[nodiscard]] std::vector<sql::statement> plan_replay(const session_state& session, connection_session_state& memory,
                                                       const prepared_statement* needed);
 
 /// How many statements `plan_replay` would send, without changing anything:
 /// what choosing this connection costs.
-[[nodiscard]] std::size_t replay_cost(const session_state& session, const connection_memory& memory);
+[[nodiscard]] std::size_t replay_cost(const session_state& session, const connection_session_state& memory);
 
 } // namespace cornellever::session
--- a/src/cornellever/session/fwd.hpp
+++ b/src/cornellever/session/fwd.hpp
@@ -4,6 +4,6 @@
 
 struct prepared_statement;
 struct session_state;
-struct connection_memory;
+struct connection_session_state;
 
 } // namespace cornellever::session
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -178,7 +178,7 @@
 
 BOOST_AUTO_TEST_CASE(what_the_connection_holds_already_is_not_sent) {
     session::session_state state{.id = 1, .values = {{"a", "1"}, {"b", "2"}}};
-    session::connection_memory memory;
+    session::connection_session_state memory;
     BOOST_TEST(session::plan_replay(state, memory, nullptr).size() == 2U);
     BOOST_TEST(session::plan_replay(state, memory, nullptr).empty());
     state.values["b"] = "3";
@@ -190,7 +190,7 @@
     session::session_state first{.id = 1, .values = {{"a", "1"}}};
     session::session_state second{.id = 2, .values = {{"b", "1"}}};
     const session::prepared_statement shape{sql::access::read, "q1"};
-    session::connection_memory memory;
+    session::connection_session_state memory;
     BOOST_TEST(session::plan_replay(first, memory, &shape).size() == 2U);
     const auto plan = session::plan_replay(second, memory, &shape);
     BOOST_TEST_REQUIRE(plan.size() == 3U);
