--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -15,7 +15,7 @@
 #include "cornellever/routing/lead_doubt.hpp"
 #include "cornellever/routing/model.hpp"
 #include "cornellever/routing/replica_progress.hpp"
-#include "cornellever/session/connection_memory.hpp"
+#include "cornellever/session/connection_session_state.hpp"
 
 namespace cornellever::routing {
 
--- a/src/cornellever/session/connection_memory.cpp
+++ b/src/cornellever/session/connection_session_state.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/session/connection_memory.hpp"
+#include "cornellever/session/connection_session_state.hpp"
 
 #include <algorithm>
 
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -6,8 +6,8 @@
 #include "cornellever/routing/connection_budget.hpp"
 #include "cornellever/routing/placement.hpp"
 #include "cornellever/routing/waiting_line.hpp"
-#include "cornellever/session/connection_memory.hpp"
 #include "cornellever/session/connection_ownership.hpp"
+#include "cornellever/session/connection_session_state.hpp"
 #include "cornellever/session/planned_stop.hpp"
 #include "cornellever/session/serve_settings.hpp"
 
