--- a/src/cornellever/session/active_session.hpp
+++ b/src/cornellever/session/active_session.hpp
@@ -16,38 +16,38 @@
 struct session_status {
     /// The caller waits for nothing and has no transaction open: closing the
     /// connection now cuts nothing.
-    bool resting{false};
+    bool is_idle{false};
     /// The caller is waited for, resting or inside a transaction.
-    bool waited_for{false};
+    bool awaiting_request{false};
     /// Closes it unless a request has arrived meanwhile.
     std::function<void()> close_if_no_input;
 };
 
 /// Who runs a session's statements: this proxy, one that owns the scarce
 /// connections, or one that reaches the primary while this one does not.
-enum class served_by { itself, owner, way_round };
+enum class execution_site { local, connection_owner, detour };
 
 /// A session's part that another proxy runs.
 template <typename Relay>
-struct relayed_part {
+struct session_at_peer {
     /// The session there; none before the first statement that runs, or after
     /// the other proxy went away.
-    std::unique_ptr<Relay> peer{};
-    std::string name{};
+    std::unique_ptr<Relay> session{};
+    std::string peer_name{};
     boot_clock::time_point opened_at{};
     /// Where the caller's session stands.
     sql::transaction_state state{sql::transaction_state::idle};
     /// A BEGIN that the caller was answered and the peer has not been sent.
-    std::optional<sql::request> begun{};
+    std::optional<sql::request> deferred_begin{};
     /// The transaction under way has written.
     bool wrote{false};
 
-    [[nodiscard]] bool open() const { return peer != nullptr && peer->open(); }
+    [[nodiscard]] bool open() const { return session != nullptr && session->open(); }
 
     void close() {
-        if (peer != nullptr) {
-            peer->close();
-            peer.reset();
+        if (session != nullptr) {
+            session->close();
+            session.reset();
         }
     }
 };
@@ -55,17 +55,19 @@
 /// One session being served. What its caller has set and prepared is kept here
 /// whoever runs its statements, so that the next operation may run elsewhere.
 template <routing::link_connector Connector>
-struct conversation {
+struct active_session {
     session_state state;
-    std::optional<typename statement_engine<Connector>::transaction> open{};
+    std::optional<typename statement_engine<Connector>::transaction> open_transaction{};
     session_status status{};
     /// Of another proxy's caller.
     bool relayed{false};
-    served_by where{served_by::itself};
-    relayed_part<typename Connector::relay> elsewhere{};
+    execution_site site{execution_site::local};
+    session_at_peer<typename Connector::relay> at_peer{};
 
     /// Whether the caller has no transaction open.
-    [[nodiscard]] bool between_operations() const { return !open && elsewhere.state == sql::transaction_state::idle; }
+    [[nodiscard]] bool outside_transaction() const {
+        return !open_transaction && at_peer.state == sql::transaction_state::idle;
+    }
 };
 
 } // namespace cornellever::session
--- a/src/cornellever/session/connection_ownership.cpp
+++ b/src/cornellever/session/connection_ownership.cpp
@@ -15,16 +15,16 @@
 
 /// Connections of an owner to each server: a statement can run while a
 /// transaction rests on the other.
-constexpr std::size_t wanted_connections = 2;
+constexpr std::size_t connections_per_owner = 2;
 
 /// Owners of one service's connections. The loss of one moves an eighth of the
 /// sessions; more owners only send more statements at a time to servers that
 /// run two, and more heartbeats, since each asks all others.
-constexpr std::size_t most_owners = 8;
+constexpr std::size_t max_owners = 8;
 
 /// With fewer proxies than this a relay's extra hop costs more than a second
 /// connection each brings.
-constexpr std::size_t few_proxies = 12;
+constexpr std::size_t min_sharing_proxies = 12;
 
 } // namespace
 
@@ -35,27 +35,28 @@
 connection_ownership allocate_connections(std::string_view service, std::size_t limit,
                                           std::span<const proxy_node> proxies) {
     const auto each = routing::connections_per_proxy(limit, proxies.size());
-    if (each >= 2 || proxies.size() < few_proxies) {
+    if (each >= 2 || proxies.size() < min_sharing_proxies) {
         return {{},
                 each,
                 std::max(each, routing::connections_under_load(limit) / std::max<std::size_t>(1, proxies.size()))};
     }
     const auto usable = routing::shared_connections(limit);
-    const auto wanted = std::clamp<std::size_t>(usable / wanted_connections, 1, std::min(proxies.size(), most_owners));
-    using ranked_place = std::pair<std::uint64_t, const proxy_node*>;
-    std::map<std::string_view, std::vector<ranked_place>> by_place;
+    const auto owner_count =
+        std::clamp<std::size_t>(usable / connections_per_owner, 1, std::min(proxies.size(), max_owners));
+    using ranked_node = std::pair<std::uint64_t, const proxy_node*>;
+    std::map<std::string_view, std::vector<ranked_node>> by_data_center;
     for (const auto& item : proxies) {
-        by_place[item.data_center].emplace_back(stable_hash({service, "/", item.name}), &item);
+        by_data_center[item.data_center].emplace_back(stable_hash({service, "/", item.name}), &item);
     }
-    for (auto& [place, items] : by_place) {
-        std::ranges::sort(items, {}, &ranked_place::first);
+    for (auto& [data_center, nodes] : by_data_center) {
+        std::ranges::sort(nodes, {}, &ranked_node::first);
     }
     connection_ownership out;
     // One of each data centre in turn: a session finds an owner nearby.
-    for (std::size_t rank = 0; out.owners.size() < wanted; ++rank) {
-        for (const auto& [place, items] : by_place) {
-            if (rank < items.size() && out.owners.size() < wanted) {
-                out.owners.push_back(*items[rank].second);
+    for (std::size_t rank = 0; out.owners.size() < owner_count; ++rank) {
+        for (const auto& [data_center, nodes] : by_data_center) {
+            if (rank < nodes.size() && out.owners.size() < owner_count) {
+                out.owners.push_back(*nodes[rank].second);
             }
         }
     }
--- a/src/cornellever/session/connection_session_state.cpp
+++ b/src/cornellever/session/connection_session_state.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-bool holds_foreign_value(const session_state& session, const connection_session_state& memory) {
-    return std::ranges::any_of(memory.values, [&](const auto& item) { return !session.values.contains(item.first); });
+bool has_foreign_value(const session_state& session, const connection_session_state& connection) {
+    return std::ranges::any_of(connection.values,
+                               [&](const auto& item) { return !session.values.contains(item.first); });
 }
 
-bool holds_same(const connection_session_state& memory, const std::string& name, const std::string& value) {
-    const auto found = memory.values.find(name);
-    return found != memory.values.end() && found->second == value;
+bool has_value(const connection_session_state& connection, const std::string& name, const std::string& value) {
+    const auto found = connection.values.find(name);
+    return found != connection.values.end() && found->second == value;
 }
 
 } // namespace
@@ -21,37 +22,37 @@
     return (what.touches == sql::access::read ? "r_" : "w_") + what.shape;
 }
 
-std::vector<sql::statement> plan_replay(const session_state& session, connection_session_state& memory,
-                                        const prepared_statement* needed) {
+std::vector<sql::statement> plan_replay(const session_state& session, connection_session_state& connection,
+                                        const prepared_statement* needed_statement) {
     std::vector<sql::statement> out;
-    if (holds_foreign_value(session, memory)) {
+    if (has_foreign_value(session, connection)) {
         out.push_back({.kind = sql::statement_kind::reset});
-        memory.values.clear();
-        memory.prepared.clear();
+        connection.values.clear();
+        connection.prepared.clear();
     }
     for (const auto& [name, value] : session.values) {
-        if (!holds_same(memory, name, value)) {
+        if (!has_value(connection, name, value)) {
             out.push_back({.kind = sql::statement_kind::set, .name = name, .text = value});
-            memory.values.insert_or_assign(name, value);
+            connection.values.insert_or_assign(name, value);
         }
     }
-    if (needed != nullptr && memory.prepared.insert(prepared_name(*needed)).second) {
+    if (needed_statement != nullptr && connection.prepared.insert(prepared_name(*needed_statement)).second) {
         out.push_back({.kind = sql::statement_kind::prepare,
-                       .name = prepared_name(*needed),
-                       .touches = needed->touches,
-                       .text = needed->shape});
+                       .name = prepared_name(*needed_statement),
+                       .touches = needed_statement->touches,
+                       .text = needed_statement->shape});
     }
     return out;
 }
 
-std::size_t replay_cost(const session_state& session, const connection_session_state& memory) {
+std::size_t replay_cost(const session_state& session, const connection_session_state& connection) {
     std::size_t cost = 0;
-    const bool reset = holds_foreign_value(session, memory);
+    const bool reset = has_foreign_value(session, connection);
     if (reset) {
         ++cost;
     }
     for (const auto& [name, value] : session.values) {
-        if (reset || !holds_same(memory, name, value)) {
+        if (reset || !has_value(connection, name, value)) {
             ++cost;
         }
     }
--- a/src/cornellever/session/connection_session_state.hpp
+++ b/src/cornellever/session/connection_session_state.hpp
@@ -25,14 +25,15 @@
 [[nodiscard]] std::string prepared_name(const prepared_statement& what);
 
 /// The statements that make a connection hold exactly the session's values
-/// and, when `needed` is given, that prepared statement; `memory` is brought
+/// and, when `needed_statement` is given, that prepared statement; `connection` is brought
 /// up to what they leave. A value that the session lacks needs a reset, which
 /// takes the connection's prepared statements with it.
-[[nodiscard]] std::vector<sql::statement> plan_replay(const session_state& session, connection_session_state& memory,
-                                                      const prepared_statement* needed);
+[[nodiscard]] std::vector<sql::statement> plan_replay(const session_state& session,
+                                                      connection_session_state& connection,
+                                                      const prepared_statement* needed_statement);
 
 /// How many statements `plan_replay` would send, without changing anything:
 /// what choosing this connection costs.
-[[nodiscard]] std::size_t replay_cost(const session_state& session, const connection_session_state& memory);
+[[nodiscard]] std::size_t replay_cost(const session_state& session, const connection_session_state& connection);
 
 } // namespace cornellever::session
--- a/src/cornellever/session/describe.hpp
+++ b/src/cornellever/session/describe.hpp
@@ -28,8 +28,8 @@
     for (const auto& [digest, name] : host.gate().accounts().keys()) {
         out["accounts"][name]["keys"].append(digest.fingerprint());
     }
-    out["served"] = host.counters().served_in.describe();
-    out["waited_for_connection"] = host.counters().waited_for_connection.describe();
+    out["served"] = host.counters().statement_latency.describe();
+    out["waited_for_connection"] = host.counters().connection_wait.describe();
     for (const auto& [name, backends] : host.pools()) {
         auto& pool = out["services"][name];
         pool["primary"] = backends->primary();
@@ -39,22 +39,22 @@
             pool["sample"] = sql::to_string(newest->position);
             pool["sample_ms"] = static_cast<Json::Int64>(to_ms(now - newest->asked_at));
         }
-        for (const auto& [id, at] : backends->entries()) {
+        for (const auto& [id, entry] : backends->entries()) {
             auto& server = pool["servers"][id];
-            server["data_center"] = at->server.data_center;
-            for (const auto& item : at->slots) {
+            server["data_center"] = entry->server.data_center;
+            for (const auto& item : entry->slots) {
                 if (!item->account.empty()) {
                     auto& held = server["connections_of"][item->account];
                     held = held.asUInt64() + 1;
                 }
             }
-            server["connections"] = static_cast<Json::UInt64>(at->slots.size());
-            server["idle"] = static_cast<Json::UInt64>(at->idle());
-            server["in_flight"] = static_cast<Json::UInt64>(at->in_flight);
-            server["typical_ms"] = at->typical.value(now);
-            server["draining"] = at->server.draining;
-            server["unreachable"] = at->unreachable();
-            server["heard_ms"] = static_cast<Json::Int64>(to_ms(now - at->heard_at));
+            server["connections"] = static_cast<Json::UInt64>(entry->slots.size());
+            server["idle"] = static_cast<Json::UInt64>(entry->idle());
+            server["in_flight"] = static_cast<Json::UInt64>(entry->in_flight);
+            server["typical_ms"] = entry->typical.value(now);
+            server["draining"] = entry->server.draining;
+            server["unreachable"] = entry->unreachable();
+            server["heard_ms"] = static_cast<Json::Int64>(to_ms(now - entry->heard_at));
         }
     }
     return out;
@@ -74,20 +74,22 @@
                  counted.reads_on_replicas, {{"role", "replica"}});
     into.counter("cornellever_reads_total", "", counted.reads_on_primary, {{"role", "primary"}});
     into.counter("cornellever_transactions_total", "Transactions opened by callers.", counted.transactions_opened);
-    into.counter("cornellever_transactions_undone_total", "Transactions rolled back.", counted.transactions_undone);
+    into.counter("cornellever_transactions_undone_total", "Transactions rolled back.",
+                 counted.transactions_rolled_back);
     into.counter("cornellever_limit_refusals_total", "Operations refused for their account's limit, by cause.",
-                 counted.over_limit, {{"cause", "used_up"}});
-    into.counter("cornellever_limit_refusals_total", "", counted.limit_unknown, {{"cause", "no_coordinator"}});
+                 counted.over_limit_refusals, {{"cause", "used_up"}});
+    into.counter("cornellever_limit_refusals_total", "", counted.unknown_limit_refusals, {{"cause", "no_coordinator"}});
     into.gauge("cornellever_configuration_proof_age_milliseconds",
                "Since the configuration was last known to be the newest; -1 when never.",
                host.gate().lease().proven() ? static_cast<double>(to_ms(host.gate().lease().age(now))) : -1.0);
-    for (std::size_t i = 0; i < traffic_counters::refusals; ++i) {
+    for (std::size_t i = 0; i < traffic_counters::refusal_kinds; ++i) {
         into.counter("cornellever_refused_total", i == 0 ? "Statements answered with an error, by cause." : "",
                      counted.refused.at(i), {{"cause", std::string{sql::to_string(static_cast<sql::refusal>(i))}}});
     }
-    into.summary("cornellever_served_microseconds", "From a statement's arrival to its answer.", counted.served_in);
+    into.summary("cornellever_served_microseconds", "From a statement's arrival to its answer.",
+                 counted.statement_latency);
     into.summary("cornellever_connection_wait_microseconds", "Waiting for a connection to a server.",
-                 counted.waited_for_connection);
+                 counted.connection_wait);
     into.gauge("cornellever_config_version", "Version of the configuration in force.",
                static_cast<double>(host.config().version));
     for (const auto& [name, backends] : host.pools()) {
@@ -96,13 +98,13 @@
                    static_cast<double>(backends->waiting()), {{"service", name}});
         into.gauge("cornellever_sample_age_milliseconds", "Age of the newest freshness sample; -1 without one.",
                    newest == nullptr ? -1.0 : static_cast<double>(to_ms(now - newest->asked_at)), {{"service", name}});
-        for (const auto& [id, at] : backends->entries()) {
+        for (const auto& [id, entry] : backends->entries()) {
             const metrics::labels of{{"service", name}, {"server", id}};
-            into.gauge("cornellever_connections", "Connections to a server.", static_cast<double>(at->slots.size()),
+            into.gauge("cornellever_connections", "Connections to a server.", static_cast<double>(entry->slots.size()),
                        of);
-            into.gauge("cornellever_connections_idle", "Those not in use.", static_cast<double>(at->idle()), of);
+            into.gauge("cornellever_connections_idle", "Those not in use.", static_cast<double>(entry->idle()), of);
             into.gauge("cornellever_server_typical_milliseconds", "Moving average of a statement's time at a server.",
-                       at->typical.value(now), of);
+                       entry->typical.value(now), of);
             into.gauge("cornellever_server_primary", "1 for the server taken for the primary.",
                        id == backends->primary() ? 1.0 : 0.0, of);
         }
--- a/src/cornellever/session/planned_stop.hpp
+++ b/src/cornellever/session/planned_stop.hpp
@@ -31,35 +31,39 @@
 class planned_stop {
 public:
     /// `grace`: from the stop signal until the process is killed.
-    planned_stop(boot_clock::time_point begun, std::chrono::milliseconds grace) : m_begun{begun}, m_grace{grace} {}
+    planned_stop(boot_clock::time_point stop_requested_at, std::chrono::milliseconds grace)
+        : m_stop_requested_at{stop_requested_at}
+        , m_grace{grace} {}
 
     /// What holds at `now` with so many sessions open.
     [[nodiscard]] stop_actions at(boot_clock::time_point now, std::size_t sessions) const {
-        const auto since = now - m_begun;
-        const auto noticed = std::min<boot_clock::duration>(balancer_notices, m_grace * 2 / 5);
-        return {.close_after_answer = since >= noticed,
-                .close_idle_sessions = since >= noticed + std::min<boot_clock::duration>(answers_awaited, m_grace / 5),
-                .abort_transactions = since >= m_grace / 2,
-                .close_idle_in_transaction = since >= m_grace * 3 / 5,
-                .exit = since >= m_grace - kill_margin || (since >= noticed + last_answers && sessions == 0)};
+        const auto elapsed = now - m_stop_requested_at;
+        const auto balancer_detected = std::min<boot_clock::duration>(balancer_detection_time, m_grace * 2 / 5);
+        return {.close_after_answer = elapsed >= balancer_detected,
+                .close_idle_sessions =
+                    elapsed >= balancer_detected + std::min<boot_clock::duration>(answer_close_window, m_grace / 5),
+                .abort_transactions = elapsed >= m_grace / 2,
+                .close_idle_in_transaction = elapsed >= m_grace * 3 / 5,
+                .exit = elapsed >= m_grace - kill_margin ||
+                        (elapsed >= balancer_detected + late_connection_window && sessions == 0)};
     }
 
 private:
     /// The balancer asks once a second and takes a proxy out after two misses;
     /// with the question under way that is at most 2 s and a round trip.
-    static constexpr std::chrono::milliseconds balancer_notices{2100};
+    static constexpr std::chrono::milliseconds balancer_detection_time{2100};
     /// Callers ask about once a second: a third of the sessions end behind an
     /// answer within that time. Closing a resting one cuts the request that is
     /// on its way, 3 ms, once in 300 closings. Longer stops overlap where many
     /// proxies are restarted in turn: with 1.1 s half of a data centre's proxies
     /// were out of the balancer's rotation at once, and it used them all again.
-    static constexpr std::chrono::milliseconds answers_awaited{400};
+    static constexpr std::chrono::milliseconds answer_close_window{400};
     /// Connections that were on their way as the balancer noticed.
-    static constexpr std::chrono::milliseconds last_answers{150};
+    static constexpr std::chrono::milliseconds late_connection_window{150};
     /// Left before the kill, for a slow VM to get to its exit.
     static constexpr std::chrono::milliseconds kill_margin{900};
 
-    boot_clock::time_point m_begun;
+    boot_clock::time_point m_stop_requested_at;
     std::chrono::milliseconds m_grace;
 };
 
--- a/src/cornellever/session/primary_paths.cpp
+++ b/src/cornellever/session/primary_paths.cpp
@@ -4,22 +4,22 @@
 
 namespace cornellever::session {
 
-void primary_paths::note(const std::string& service, const proxy_node& through, time_point heard_at) {
-    auto& known = m_paths[service][through.name];
-    known.through = through;
-    known.heard_at = std::max(known.heard_at, heard_at);
+void primary_paths::record_contact(const std::string& service, const proxy_node& peer, time_point last_contact) {
+    auto& known = m_paths[service][peer.name];
+    known.peer = peer;
+    known.last_contact = std::max(known.last_contact, last_contact);
 }
 
-std::vector<proxy_node> primary_paths::through(std::string_view service, std::uint64_t session, time_point now,
-                                               time_point heard_here) const {
+std::vector<proxy_node> primary_paths::peers_reaching(std::string_view service, std::uint64_t session, time_point now,
+                                                      time_point local_contact) const {
     std::vector<proxy_node> out;
     const auto found = m_paths.find(service);
     if (found == m_paths.end()) {
         return out;
     }
     for (const auto& [name, item] : found->second) {
-        if (now - item.heard_at <= fresh_for && item.heard_at - heard_here >= later_by) {
-            out.push_back(item.through);
+        if (now - item.last_contact <= max_contact_age && item.last_contact - local_contact >= min_advantage) {
+            out.push_back(item.peer);
         }
     }
     if (!out.empty()) {
--- a/src/cornellever/session/relay.hpp
+++ b/src/cornellever/session/relay.hpp
@@ -33,16 +33,16 @@
 
 /// The id of the proxy's own statements to another proxy, which takes callers'
 /// statements only and needs one.
-inline constexpr std::string_view replay_id = "replay";
+inline constexpr std::string_view replay_request_id = "replay";
 
 /// What brings a new session to the values and prepared statements of this one.
-[[nodiscard]] std::vector<sql::statement> statements_of(const session_state& from);
+[[nodiscard]] std::vector<sql::statement> replay_statements(const session_state& from);
 
 /// What to answer when the owner's connection ended before its answer. The
 /// transaction that was open there is rolled back; a commit or a write outside
 /// a transaction that was sent may have changed something.
-[[nodiscard]] inline sql::reply unanswered_by_owner(const sql::request& request, sql::transaction_state state,
-                                                    bool may_have_changed) {
+[[nodiscard]] inline sql::reply reply_after_owner_loss(const sql::request& request, sql::transaction_state state,
+                                                       bool may_have_changed) {
     const bool commit = request.what.kind == sql::statement_kind::commit;
     if (may_have_changed && (commit || state == sql::transaction_state::idle)) {
         return refused(sql::refusal::outcome_unknown, "the proxy that owns the connections is gone",
@@ -61,7 +61,7 @@
 
 /// The owners in the order in which a session tries them: those of the same
 /// data centre first, sessions spread over them by number.
-[[nodiscard]] std::vector<proxy_node> relay_order(const connection_ownership& shared, std::string_view data_center,
+[[nodiscard]] std::vector<proxy_node> relay_order(const connection_ownership& ownership, std::string_view data_center,
                                                   std::uint64_t session);
 
 } // namespace cornellever::session
--- a/src/cornellever/session/serve_settings.cpp
+++ b/src/cornellever/session/serve_settings.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 /// Takes a value; returns what is wrong with it.
-using reader = std::function<std::optional<std::string>(const std::string&, serve_settings&)>;
+using setting_parser = std::function<std::optional<std::string>(const std::string&, serve_settings&)>;
 
-reader text(std::string serve_settings::*member) {
+setting_parser text(std::string serve_settings::*member) {
     return [member](const std::string& value, serve_settings& out) -> std::optional<std::string> {
         if (value.empty()) {
             return "must not be empty";
@@ -27,7 +27,7 @@
     };
 }
 
-reader address(tcp::endpoint serve_settings::*member) {
+setting_parser address(tcp::endpoint serve_settings::*member) {
     return [member](const std::string& value, serve_settings& out) -> std::optional<std::string> {
         if (!parse_endpoint(value, out.*member)) {
             return "must be IP:PORT, not '" + value + "'";
@@ -37,11 +37,11 @@
 }
 
 std::optional<std::string> read_grace(const std::string& value, serve_settings& out) {
-    constexpr int longest_s = 3600;
+    constexpr int max_s = 3600;
     int seconds = 0;
     const auto* const end = value.data() + value.size();
-    const auto got = std::from_chars(value.data(), end, seconds);
-    if (got.ec != std::errc{} || got.ptr != end || seconds < 1 || seconds > longest_s) {
+    const auto parsed = std::from_chars(value.data(), end, seconds);
+    if (parsed.ec != std::errc{} || parsed.ptr != end || seconds < 1 || seconds > max_s) {
         return "must be whole seconds from 1 to 3600, not '" + value + "'";
     }
     out.grace = std::chrono::seconds{seconds};
@@ -50,16 +50,16 @@
 
 /// Left empty where there is no bound.
 std::optional<std::string> read_revocation(const std::string& value, serve_settings& out) {
-    constexpr long least_ms = 1000;
-    constexpr long longest_ms = 3'600'000;
+    constexpr long min_ms = 1000;
+    constexpr long max_ms = 3'600'000;
     out.revocation.reset();
     if (value.empty()) {
         return std::nullopt;
     }
     long ms = 0;
     const auto* const end = value.data() + value.size();
-    const auto got = std::from_chars(value.data(), end, ms);
-    if (got.ec != std::errc{} || got.ptr != end || ms < least_ms || ms > longest_ms) {
+    const auto parsed = std::from_chars(value.data(), end, ms);
+    if (parsed.ec != std::errc{} || parsed.ptr != end || ms < min_ms || ms > max_ms) {
         return "must be whole milliseconds from 1000 to 3600000, or empty, not '" + value + "'";
     }
     out.revocation = std::chrono::milliseconds{ms};
@@ -67,30 +67,30 @@
 }
 
 std::optional<std::string> read_limits(const std::string& value, serve_settings& out) {
-    tcp::endpoint where;
-    if (!parse_endpoint(value, where)) {
+    tcp::endpoint endpoint;
+    if (!parse_endpoint(value, endpoint)) {
         return "must be IP:PORT, not '" + value + "'";
     }
-    out.limits = {where.address(), where.port()};
+    out.limits = {endpoint.address(), endpoint.port()};
     return std::nullopt;
 }
 
-/// Reads a number from `least` to `most` into a field; `what` names its unit.
-std::optional<std::string> read_number(const std::string& value, double least, double most, std::string_view what,
-                                       double& into) {
+/// Reads a number from `minimum` to `maximum` into a field; `requirement` names its unit.
+std::optional<std::string> read_number(const std::string& value, double minimum, double maximum,
+                                       std::string_view requirement, double& out) {
     const auto* const end = value.data() + value.size();
-    const auto got = std::from_chars(value.data(), end, into);
-    if (got.ec != std::errc{} || got.ptr != end || into < least || into > most) {
-        return "must be " + std::string{what} + ", not '" + value + "'";
+    const auto parsed = std::from_chars(value.data(), end, out);
+    if (parsed.ec != std::errc{} || parsed.ptr != end || out < minimum || out > maximum) {
+        return "must be " + std::string{requirement} + ", not '" + value + "'";
     }
     return std::nullopt;
 }
 
 std::optional<std::string> read_limit_window(const std::string& value, serve_settings& out) {
     double seconds = 0.0;
-    auto wrong = read_number(value, 0.1, 3600.0, "seconds from 0.1 to 3600", seconds);
+    auto problem = read_number(value, 0.1, 3600.0, "seconds from 0.1 to 3600", seconds);
     out.limit_bound.window = std::chrono::milliseconds{std::llround(seconds * 1000.0)};
-    return wrong;
+    return problem;
 }
 
 std::optional<std::string> read_limit_overage(const std::string& value, serve_settings& out) {
@@ -119,8 +119,8 @@
     return std::nullopt;
 }
 
-const std::map<std::string, reader, std::less<>>& readers() {
-    static const std::map<std::string, reader, std::less<>> all{
+const std::map<std::string, setting_parser, std::less<>>& setting_parsers() {
+    static const std::map<std::string, setting_parser, std::less<>> all{
         {"name", text(&serve_settings::name)},
         {"data_center", text(&serve_settings::data_center)},
         {"callers", address(&serve_settings::callers)},
@@ -155,19 +155,19 @@
     auto findings = document.findings;
     std::map<std::string, ini::origin, std::less<>> seen;
     for (const auto& item : document.entries) {
-        const auto found = readers().find(item.key);
-        if (item.section != "serve" || found == readers().end()) {
+        const auto found = setting_parsers().find(item.key);
+        if (item.section != "serve" || found == setting_parsers().end()) {
             findings.push_back({item.where, "unknown setting [" + item.section + "] " + item.key});
             continue;
         }
         if (!seen.emplace(item.key, item.where).second) {
             findings.push_back({item.where, item.key + " is set twice"});
         }
-        if (auto wrong = found->second(item.value, out)) {
-            findings.push_back({item.where, item.key + " " + *wrong});
+        if (auto problem = found->second(item.value, out)) {
+            findings.push_back({item.where, item.key + " " + *problem});
         }
     }
-    for (const auto& [key, unused] : readers()) {
+    for (const auto& [key, unused] : setting_parsers()) {
         if (!seen.contains(key) && !optional_keys.contains(key)) {
             findings.push_back({{std::string{file}, 0}, key + " is missing"});
         }
@@ -194,20 +194,20 @@
             text = text.substr(close + 2);
             continue;
         }
-        const bool before_port = text.substr(close + 2).starts_with(":");
-        const bool port = out.ends_with(":");
+        const bool is_host = text.substr(close + 2).starts_with(":");
+        const bool is_port = out.ends_with(":");
         const auto key = std::string_view{out}.substr(out.rfind('\n') + 1);
-        const bool word = key.starts_with("name") || key.starts_with("data_center");
-        const bool number = key.starts_with("grace_s") || port;
-        const bool span = key.starts_with("revocation_ms");
-        const bool part = key.starts_with("limit_");
-        const bool flag = key.starts_with("first_start");
-        out += span             ? "5000"
-               : number || part ? "7"
-               : before_port    ? "10.0.0.1"
-               : word           ? "word"
-               : flag           ? "true"
-                                : "10.0.0.1:7000";
+        const bool is_name = key.starts_with("name") || key.starts_with("data_center");
+        const bool is_number = key.starts_with("grace_s") || is_port;
+        const bool is_duration = key.starts_with("revocation_ms");
+        const bool is_limit = key.starts_with("limit_");
+        const bool is_flag = key.starts_with("first_start");
+        out += is_duration             ? "5000"
+               : is_number || is_limit ? "7"
+               : is_host               ? "10.0.0.1"
+               : is_name               ? "word"
+               : is_flag               ? "true"
+                                       : "10.0.0.1:7000";
         text = text.substr(close + 2);
     }
     return out;
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -64,59 +64,64 @@
     explicit statement_engine(traffic_counters& counters) : m_counters{counters} {}
 
     /// Runs one statement outside a transaction.
-    asio::awaitable<sql::reply> run_alone(pool& backends, const statement_run& run);
+    asio::awaitable<sql::reply> run_autocommit(pool& backends, const statement_run& run);
 
     /// Runs a statement or the commit of a transaction.
-    asio::awaitable<sql::reply> run_inside(transaction& inside, const statement_run& run);
+    asio::awaitable<sql::reply> run_in_transaction(transaction& tx, const statement_run& run);
 
     /// Undoes the transaction; its connection goes on to others.
-    void undo(transaction& inside);
+    void roll_back_transaction(transaction& tx);
 
 private:
-    enum class verdict { answered, again };
+    enum class outcome { answered, retry };
 
-    [[nodiscard]] static routing::time_limits limits_of(const statement_run& run);
+    [[nodiscard]] static routing::time_limits time_limits_of(const statement_run& run);
     asio::awaitable<void> await_sample(pool& backends, const statement_run& run, bool needs_primary);
-    [[nodiscard]] std::optional<sql::reply> forbid(const statement_run& run, const accounts::gate::decision& may) const;
-    [[nodiscard]] std::optional<sql::reply> forbid_on(const statement_run& run, const lease& held) const;
+    [[nodiscard]] std::optional<sql::reply> permission_refusal(const statement_run& run,
+                                                               const accounts::gate::decision& permission) const;
+    [[nodiscard]] std::optional<sql::reply> permission_refusal_at_send(const statement_run& run,
+                                                                       const lease& held) const;
     [[nodiscard]] std::optional<sql::reply> admit(pool& backends, const statement_run& run,
-                                                  routing::connection_want& want);
-    asio::awaitable<lease> connection_for(pool& backends, const statement_run& run, routing::connection_want& want,
-                                          sql::reply& refusal);
-    asio::awaitable<bool> arm(pool& backends, lease& held, time_point until);
-    [[nodiscard]] std::vector<sql::command> batch_for(lease& held, const statement_run& run,
-                                                      const std::optional<sql::log_position>& floor,
-                                                      std::size_t& wanted) const;
+                                                  routing::connection_want& pool_request);
+    asio::awaitable<lease> acquire_connection(pool& backends, const statement_run& run,
+                                              routing::connection_want& pool_request, sql::reply& refusal);
+    asio::awaitable<bool> prime_connection(pool& backends, lease& held, time_point until);
+    [[nodiscard]] std::vector<sql::command> build_batch(lease& held, const statement_run& run,
+                                                        const std::optional<sql::log_position>& floor,
+                                                        std::size_t& reply_index) const;
     asio::awaitable<routing::link_reply> exchange(pool& backends, lease& held, std::vector<sql::command> batch,
-                                                  std::size_t wanted, time_point until);
-    verdict judge_read(pool& backends, lease& held, const statement_run& run, routing::connection_want& want,
-                       const routing::link_reply& got, sql::reply& out);
-    verdict judge_write(pool& backends, lease& held, const statement_run& run, routing::connection_want& want,
-                        const routing::link_reply& got, sql::reply& out);
-    [[nodiscard]] static bool refused_again(routing::connection_want& want, const std::string& server);
-    asio::awaitable<bool> pin(transaction& inside, const statement_run& run, sql::reply& refusal);
+                                                  std::size_t reply_index, time_point until);
+    outcome handle_read_reply(pool& backends, lease& held, const statement_run& run,
+                              routing::connection_want& pool_request, const routing::link_reply& reply,
+                              sql::reply& out);
+    outcome handle_write_reply(pool& backends, lease& held, const statement_run& run,
+                               routing::connection_want& pool_request, const routing::link_reply& reply,
+                               sql::reply& out);
+    [[nodiscard]] static bool refused_twice(routing::connection_want& pool_request, const std::string& server);
+    asio::awaitable<bool> pin(transaction& tx, const statement_run& run, sql::reply& refusal);
     asio::awaitable<bool> open_read_only(pool& backends, lease& held, const std::optional<sql::log_position>& floor,
                                          time_point until);
-    [[nodiscard]] std::optional<sql::reply> forbid_inside(transaction& inside, const statement_run& run);
-    sql::reply fail_inside(transaction& inside, const statement_run& run, std::string_view reason);
-    sql::reply finish_commit(transaction& inside, const statement_run& run, const routing::link_reply& got);
+    [[nodiscard]] std::optional<sql::reply> abort_unpermitted(transaction& tx, const statement_run& run);
+    sql::reply fail_transaction(transaction& tx, const statement_run& run, std::string_view reason);
+    sql::reply finish_commit(transaction& tx, const statement_run& run, const routing::link_reply& reply);
     [[nodiscard]] static sql::command command_of(const statement_run& run);
-    [[nodiscard]] routing::connection_want want_of(const pool& backends, const statement_run& run,
-                                                   bool needs_primary) const;
+    [[nodiscard]] routing::connection_want pool_request_for(const pool& backends, const statement_run& run,
+                                                            bool needs_primary) const;
     void log_served(pool& backends, const lease& held, const statement_run& run,
                     const std::optional<sql::log_position>& floor) const;
-    [[nodiscard]] static std::string describe_lag(const std::optional<sql::log_position>& floor, const sql::reply& got);
+    [[nodiscard]] static std::string describe_lag(const std::optional<sql::log_position>& floor,
+                                                  const sql::reply& reply);
     void log_decision(event id, const statement_run& run, std::string_view server, std::string_view reason) const;
 
     /// A read without an answer for so long is run again elsewhere: twice what
     /// the slowest ordinary one takes (110 ms of work behind a short queue).
-    static constexpr std::chrono::milliseconds read_try_limit{400};
+    static constexpr std::chrono::milliseconds read_attempt_timeout{400};
 
     /// A new connection (30 ms) and a round trip, or a peer's answer.
-    static constexpr std::chrono::milliseconds sample_wait{120};
-    static constexpr std::chrono::milliseconds sample_poll{10};
+    static constexpr std::chrono::milliseconds max_sample_wait{120};
+    static constexpr std::chrono::milliseconds sample_poll_interval{10};
     /// About what it takes to find another primary where one was promoted.
-    static constexpr std::chrono::milliseconds refused_lead_pause{100};
+    static constexpr std::chrono::milliseconds not_primary_retry_after{100};
 
     traffic_counters& m_counters;
 };
--- a/src/cornellever/session/statement_engine.ipp
+++ b/src/cornellever/session/statement_engine.ipp
@@ -14,9 +14,11 @@
 /// What a log lacked, beside how far it has come.
 template <routing::link_connector Connector>
 std::string statement_engine<Connector>::describe_lag(const std::optional<sql::log_position>& floor,
-                                                      const sql::reply& got) {
-    const auto text = [](const std::optional<sql::log_position>& at) { return at ? sql::to_string(*at) : "-"; };
-    return std::string{sql::to_string(sql::refusal::behind)} + " floor=" + text(floor) + " at=" + text(got.position);
+                                                      const sql::reply& reply) {
+    const auto text = [](const std::optional<sql::log_position>& position) {
+        return position ? sql::to_string(*position) : "-";
+    };
+    return std::string{sql::to_string(sql::refusal::behind)} + " floor=" + text(floor) + " at=" + text(reply.position);
 }
 
 template <routing::link_connector Connector>
@@ -29,8 +31,8 @@
 }
 
 template <routing::link_connector Connector>
-routing::connection_want statement_engine<Connector>::want_of(const pool& backends, const statement_run& run,
-                                                              bool needs_primary) const {
+routing::connection_want statement_engine<Connector>::pool_request_for(const pool& backends, const statement_run& run,
+                                                                       bool needs_primary) const {
     routing::connection_want out;
     out.session = &run.session;
     out.priority = run.route.priority;
@@ -45,7 +47,7 @@
 }
 
 template <routing::link_connector Connector>
-routing::time_limits statement_engine<Connector>::limits_of(const statement_run& run) {
+routing::time_limits statement_engine<Connector>::time_limits_of(const statement_run& run) {
     return {std::chrono::duration_cast<std::chrono::milliseconds>(run.until() - boot_clock::now()),
             run.route.target_latency};
 }
@@ -59,29 +61,29 @@
     if (needs_primary || run.route.reads == routing::consistency::primary) {
         co_return;
     }
-    const auto until = boot_clock::now() + std::min(sample_wait, run.route.target_latency);
+    const auto until = boot_clock::now() + std::min(max_sample_wait, run.route.target_latency);
     while (!backends.floor().floor(run.arrival, run.route.max_staleness, std::nullopt) && boot_clock::now() < until) {
         backends.want_sample();
-        co_await sleep_for(sample_poll);
+        co_await sleep_for(sample_poll_interval);
     }
 }
 
 template <routing::link_connector Connector>
 std::optional<sql::reply> statement_engine<Connector>::admit(pool& backends, const statement_run& run,
-                                                             routing::connection_want& want) {
-    if (want.primary && backends.path_cut()) {
+                                                             routing::connection_want& pool_request) {
+    if (pool_request.primary && backends.path_cut()) {
         // Nothing here is going to change soon, and the caller's next try may
         // come to a proxy that reaches it.
         return refused_for_now("the path to the primary is cut", std::chrono::milliseconds{0});
     }
-    const auto limits = limits_of(run);
-    const auto decision = want.primary && !backends.primary_answers()
+    const auto limits = time_limits_of(run);
+    const auto decision = pool_request.primary && !backends.primary_answers()
                               ? routing::admit_without_primary(limits)
-                              : routing::admit(backends.outlook(want, limits), limits);
+                              : routing::admit(backends.outlook(pool_request, limits), limits);
     if (!decision.admitted) {
         return refused_for_now("no connection free in time", decision.retry_after);
     }
-    want.until = boot_clock::now() + decision.wait;
+    pool_request.until = boot_clock::now() + decision.wait;
     return std::nullopt;
 }
 
@@ -106,29 +108,29 @@
 /// A connection, or the refusal to answer with.
 template <routing::link_connector Connector>
 asio::awaitable<typename statement_engine<Connector>::lease>
-statement_engine<Connector>::connection_for(pool& backends, const statement_run& run, routing::connection_want& want,
-                                            sql::reply& refusal) {
-    const auto asked = boot_clock::now();
+statement_engine<Connector>::acquire_connection(pool& backends, const statement_run& run,
+                                                routing::connection_want& pool_request, sql::reply& refusal) {
+    const auto requested_at = boot_clock::now();
     lease held;
     for (;;) {
-        if (auto refused = admit(backends, run, want)) {
+        if (auto refused = admit(backends, run, pool_request)) {
             refusal = std::move(*refused);
             co_return lease{};
         }
-        held = co_await backends.acquire(want);
+        held = co_await backends.acquire(pool_request);
         // It may have begun to wait before the primary was found to be lost;
         // then there is more time than under mere load.
-        if (held || !want.primary || backends.primary_answers()) {
+        if (held || !pool_request.primary || backends.primary_answers()) {
             break;
         }
     }
-    m_counters.waited_for_connection.record(boot_clock::now() - asked);
+    m_counters.connection_wait.record(boot_clock::now() - requested_at);
     if (!held) {
         refusal = refused_for_now("no connection in time", std::chrono::milliseconds{100});
         co_return lease{};
     }
-    const auto limits = limits_of(run);
-    if (!routing::worth_starting(backends.outlook(want, limits), limits.left)) {
+    const auto limits = time_limits_of(run);
+    if (!routing::worth_starting(backends.outlook(pool_request, limits), limits.left)) {
         held.release();
         refusal = refused_for_now("too late to run", std::chrono::milliseconds{100});
         co_return lease{};
@@ -137,7 +139,7 @@
 }
 
 template <routing::link_connector Connector>
-asio::awaitable<bool> statement_engine<Connector>::arm(pool& backends, lease& held, time_point until) {
+asio::awaitable<bool> statement_engine<Connector>::prime_connection(pool& backends, lease& held, time_point until) {
     if (backends.armed_now(*held)) {
         co_return true;
     }
@@ -145,9 +147,9 @@
 }
 
 template <routing::link_connector Connector>
-std::vector<sql::command> statement_engine<Connector>::batch_for(lease& held, const statement_run& run,
-                                                                 const std::optional<sql::log_position>& floor,
-                                                                 std::size_t& wanted) const {
+std::vector<sql::command> statement_engine<Connector>::build_batch(lease& held, const statement_run& run,
+                                                                   const std::optional<sql::log_position>& floor,
+                                                                   std::size_t& reply_index) const {
     std::vector<sql::command> out;
     const bool armed = std::exchange(held->armed, false);
     if (armed && run.writes()) {
@@ -156,7 +158,7 @@
     for (auto& item : plan_replay(run.session, held->memory, run.prepared)) {
         out.push_back({.what = std::move(item)});
     }
-    wanted = out.size();
+    reply_index = out.size();
     out.push_back(command_of(run));
     if (run.writes()) {
         out.push_back(sql::own(sql::statement_kind::begin));
@@ -172,67 +174,67 @@
 template <routing::link_connector Connector>
 asio::awaitable<routing::link_reply> statement_engine<Connector>::exchange(pool& backends, lease& held,
                                                                            std::vector<sql::command> batch,
-                                                                           std::size_t wanted, time_point until) {
-    auto& at = *held->home;
+                                                                           std::size_t reply_index, time_point until) {
+    auto& backend = *held->home;
     held->sent_at = boot_clock::now();
-    const scoped_count running{at.in_flight};
+    const scoped_count running{backend.in_flight};
     backends.set_awaiting(*held, true);
-    auto got = co_await held->connection->exchange(std::move(batch), wanted, until);
+    auto reply = co_await held->connection->exchange(std::move(batch), reply_index, until);
     backends.set_awaiting(*held, false);
-    if (!got) {
-        backends.note_failure(at, got.error());
-        log_event(event::connection_broken,
-                  "server=" + at.server.id + " while=statement reason=" + std::string{routing::to_string(got.error())});
-        co_return got;
-    }
-    backends.heard(at, boot_clock::now() - held->sent_at);
-    backends.note_position(at, got->position);
-    co_return got;
+    if (!reply) {
+        backends.note_failure(backend, reply.error());
+        log_event(event::connection_broken, "server=" + backend.server.id + " while=statement reason=" +
+                                                std::string{routing::to_string(reply.error())});
+        co_return reply;
+    }
+    backends.heard(backend, boot_clock::now() - held->sent_at);
+    backends.note_position(backend, reply->position);
+    co_return reply;
 }
 
 template <routing::link_connector Connector>
-asio::awaitable<sql::reply> statement_engine<Connector>::run_alone(pool& backends, const statement_run& run) {
-    const auto may = run.permitted();
-    if (auto forbidden = forbid(run, may)) {
+asio::awaitable<sql::reply> statement_engine<Connector>::run_autocommit(pool& backends, const statement_run& run) {
+    const auto permission = run.permitted();
+    if (auto forbidden = permission_refusal(run, permission)) {
         co_return *forbidden;
     }
-    const std::string account{may.account_name()};
-    const auto account_place = routing::priority_of(run.route.priority, may.account_priority());
+    const std::string account{permission.account_name()};
+    const auto priority = routing::priority_of(run.route.priority, permission.account_priority());
     co_await await_sample(backends, run, run.writes());
-    auto want = want_of(backends, run, run.writes());
-    want.account = account;
-    want.priority = account_place;
+    auto pool_request = pool_request_for(backends, run, run.writes());
+    pool_request.account = account;
+    pool_request.priority = priority;
     sql::reply out;
     for (;;) {
-        auto held = co_await connection_for(backends, run, want, out);
+        auto held = co_await acquire_connection(backends, run, pool_request, out);
         if (!held) {
             log_decision(event::request_refused, run, backends.primary(), out.error_text());
             break;
         }
-        const bool reads_at_primary = (want.primary || held->armed) && !run.writes();
+        const bool reads_at_primary = (pool_request.primary || held->armed) && !run.writes();
         if (reads_at_primary || (run.writes() && !backends.lead_proven())) {
-            const bool armed = co_await arm(backends, held, run.until());
+            const bool armed = co_await prime_connection(backends, held, run.until());
             if (!armed) {
                 held.release();
                 continue;
             }
         }
-        if (auto forbidden = forbid_on(run, held)) {
+        if (auto forbidden = permission_refusal_at_send(run, held)) {
             held.release();
             out = std::move(*forbidden);
             break;
         }
-        std::size_t wanted = 0;
-        auto batch = batch_for(held, run, want.floor, wanted);
-        const auto until = run.writes() ? run.until() : std::min(run.until(), boot_clock::now() + read_try_limit);
-        auto got = co_await exchange(backends, held, std::move(batch), wanted, until);
-        const auto what = run.writes() ? judge_write(backends, held, run, want, got, out)
-                                       : judge_read(backends, held, run, want, got, out);
-        if (what == verdict::answered && out.ok()) {
-            log_served(backends, held, run, want.primary ? std::nullopt : want.floor);
+        std::size_t reply_index = 0;
+        auto batch = build_batch(held, run, pool_request.floor, reply_index);
+        const auto until = run.writes() ? run.until() : std::min(run.until(), boot_clock::now() + read_attempt_timeout);
+        auto reply = co_await exchange(backends, held, std::move(batch), reply_index, until);
+        const auto result = run.writes() ? handle_write_reply(backends, held, run, pool_request, reply, out)
+                                         : handle_read_reply(backends, held, run, pool_request, reply, out);
+        if (result == outcome::answered && out.ok()) {
+            log_served(backends, held, run, pool_request.primary ? std::nullopt : pool_request.floor);
         }
         held.release();
-        if (what == verdict::answered) {
+        if (result == outcome::answered) {
             break;
         }
         ++m_counters.statements_retried;
--- a/src/cornellever/session/statement_outcomes.ipp
+++ b/src/cornellever/session/statement_outcomes.ipp
@@ -7,124 +7,125 @@
 /// Whether a server refuses a request as not being the primary a second time:
 /// sent once more, it would go round until its caller's time is over.
 template <routing::link_connector Connector>
-bool statement_engine<Connector>::refused_again(routing::connection_want& want, const std::string& server) {
-    return std::exchange(want.refused_by, server) == server;
+bool statement_engine<Connector>::refused_twice(routing::connection_want& pool_request, const std::string& server) {
+    return std::exchange(pool_request.refused_by, server) == server;
 }
 
 template <routing::link_connector Connector>
-typename statement_engine<Connector>::verdict
-statement_engine<Connector>::judge_read(pool& backends, lease& held, const statement_run& run,
-                                        routing::connection_want& want, const routing::link_reply& got,
-                                        sql::reply& out) {
-    auto& at = *held->home;
-    const auto& id = at.server.id;
-    if (!got) {
-        log_decision(event::statement_retried, run, id, routing::to_string(got.error()));
-        if (got.error() != routing::link_failure::not_sent && !want.primary) {
-            want.avoid.push_back(id);
+typename statement_engine<Connector>::outcome
+statement_engine<Connector>::handle_read_reply(pool& backends, lease& held, const statement_run& run,
+                                               routing::connection_want& pool_request, const routing::link_reply& reply,
+                                               sql::reply& out) {
+    auto& backend = *held->home;
+    const auto& id = backend.server.id;
+    if (!reply) {
+        log_decision(event::statement_retried, run, id, routing::to_string(reply.error()));
+        if (reply.error() != routing::link_failure::not_sent && !pool_request.primary) {
+            pool_request.avoid.push_back(id);
         }
-    } else if (got->ok()) {
+    } else if (reply->ok()) {
         ++(id == backends.primary() ? m_counters.reads_on_primary : m_counters.reads_on_replicas);
-        out = *got;
-        return verdict::answered;
+        out = *reply;
+        return outcome::answered;
     } else {
-        const auto why = got->why();
+        const auto why = reply->why();
         log_decision(event::statement_retried, run, id,
-                     why == sql::refusal::behind ? describe_lag(want.floor, *got) : std::string{sql::to_string(why)});
+                     why == sql::refusal::behind ? describe_lag(pool_request.floor, *reply)
+                                                 : std::string{sql::to_string(why)});
         switch (why) {
         case sql::refusal::behind:
-            want.avoid.push_back(id);
+            pool_request.avoid.push_back(id);
             break;
         case sql::refusal::not_primary:
-            backends.note_not_primary(at);
-            if (refused_again(want, id)) {
-                out = refused_for_now("the primary refuses its lead", refused_lead_pause);
-                return verdict::answered;
+            backends.note_not_primary(backend);
+            if (refused_twice(pool_request, id)) {
+                out = refused_for_now("the primary refuses its lead", not_primary_retry_after);
+                return outcome::answered;
             }
             break;
         case sql::refusal::overloaded:
-            if (want.primary) {
+            if (pool_request.primary) {
                 out = refused_for_now("server busy", std::chrono::milliseconds{50});
-                return verdict::answered;
+                return outcome::answered;
             }
-            want.avoid.push_back(id);
+            pool_request.avoid.push_back(id);
             break;
         case sql::refusal::no_such_prepared_statement:
             held->connection->close();
             break;
         case sql::refusal::failed:
         case sql::refusal::timed_out:
-            if (std::ranges::find(want.avoid, id) != want.avoid.end() || want.primary) {
-                out = *got;
-                return verdict::answered;
+            if (std::ranges::find(pool_request.avoid, id) != pool_request.avoid.end() || pool_request.primary) {
+                out = *reply;
+                return outcome::answered;
             }
-            want.avoid.push_back(id);
+            pool_request.avoid.push_back(id);
             break;
         default:
-            out = *got;
-            return verdict::answered;
+            out = *reply;
+            return outcome::answered;
         }
     }
     // The primary holds every commit and proves it: what no replica can serve goes there.
-    if (!want.primary && want.avoid.size() + 1 >= backends.entries().size()) {
-        want.primary = true;
-        want.avoid.clear();
+    if (!pool_request.primary && pool_request.avoid.size() + 1 >= backends.entries().size()) {
+        pool_request.primary = true;
+        pool_request.avoid.clear();
     }
     if (boot_clock::now() >= run.until()) {
         out = refused(sql::refusal::timed_out, "no answer in time", sql::transaction_state::idle);
-        return verdict::answered;
+        return outcome::answered;
     }
-    return verdict::again;
+    return outcome::retry;
 }
 
 template <routing::link_connector Connector>
-typename statement_engine<Connector>::verdict
-statement_engine<Connector>::judge_write(pool& backends, lease& held, const statement_run& run,
-                                         routing::connection_want& want, const routing::link_reply& got,
-                                         sql::reply& out) {
-    auto& at = *held->home;
-    const auto& id = at.server.id;
-    if (!got) {
-        if (got.error() == routing::link_failure::not_sent) {
+typename statement_engine<Connector>::outcome
+statement_engine<Connector>::handle_write_reply(pool& backends, lease& held, const statement_run& run,
+                                                routing::connection_want& pool_request,
+                                                const routing::link_reply& reply, sql::reply& out) {
+    auto& backend = *held->home;
+    const auto& id = backend.server.id;
+    if (!reply) {
+        if (reply.error() == routing::link_failure::not_sent) {
             log_decision(event::statement_retried, run, id, "not_sent");
-            return verdict::again;
+            return outcome::retry;
         }
         // It may have run: running it again could make it take effect twice.
-        log_decision(event::outcome_unknown, run, id, routing::to_string(got.error()));
+        log_decision(event::outcome_unknown, run, id, routing::to_string(reply.error()));
         out = refused(sql::refusal::outcome_unknown, "no answer from " + id, sql::transaction_state::idle);
-        return verdict::answered;
+        return outcome::answered;
     }
-    if (got->ok()) {
-        if (got->position) {
-            run.session.last_commit = got->position;
-            backends.note_commit(at, held->sent_at, got->position);
+    if (reply->ok()) {
+        if (reply->position) {
+            run.session.last_commit = reply->position;
+            backends.note_commit(backend, held->sent_at, reply->position);
         }
-        out = *got;
-        return verdict::answered;
+        out = *reply;
+        return outcome::answered;
     }
-    const auto why = got->why();
+    const auto why = reply->why();
     if (why == sql::refusal::not_primary) {
-        backends.note_not_primary(at);
+        backends.note_not_primary(backend);
     }
     if (why == sql::refusal::no_such_prepared_statement) {
         held->connection->close();
     }
     if (!sql::server_did_not_run(why)) {
         log_decision(event::outcome_unknown, run, id, sql::to_string(why));
-        out = refused(why == sql::refusal::malformed ? sql::refusal::outcome_unknown : why, got->error_text(),
+        out = refused(why == sql::refusal::malformed ? sql::refusal::outcome_unknown : why, reply->error_text(),
                       sql::transaction_state::idle);
-        return verdict::answered;
+        return outcome::answered;
     }
-    if (why == sql::refusal::not_primary && refused_again(want, id)) {
-        out = refused_for_now("the primary refuses its lead", refused_lead_pause);
-        return verdict::answered;
+    if (why == sql::refusal::not_primary && refused_twice(pool_request, id)) {
+        out = refused_for_now("the primary refuses its lead", not_primary_retry_after);
+        return outcome::answered;
     }
     log_decision(event::statement_retried, run, id, sql::to_string(why));
     if (why == sql::refusal::overloaded || boot_clock::now() >= run.until()) {
         out = refused_for_now("server busy", std::chrono::milliseconds{50});
-        return verdict::answered;
+        return outcome::answered;
     }
-    return verdict::again;
+    return outcome::retry;
 }
 
 } // namespace cornellever::session
--- a/src/cornellever/session/statement_permission.ipp
+++ b/src/cornellever/session/statement_permission.ipp
@@ -6,16 +6,17 @@
 
 /// The refusal of a request that may not run; nothing where it may.
 template <routing::link_connector Connector>
-std::optional<sql::reply> statement_engine<Connector>::forbid(const statement_run& run,
-                                                              const accounts::gate::decision& may) const {
-    if (may.granted()) {
+std::optional<sql::reply>
+statement_engine<Connector>::permission_refusal(const statement_run& run,
+                                                const accounts::gate::decision& permission) const {
+    if (permission.granted()) {
         return std::nullopt;
     }
     const auto age = run.gate.lease().age(boot_clock::now());
     log_decision(event::request_forbidden, run, "-",
-                 std::string{accounts::to_string(may.verdict)} + " key=" + run.session.key.fingerprint() +
+                 std::string{accounts::to_string(permission.verdict)} + " key=" + run.session.key.fingerprint() +
                      " proof_ms=" + std::to_string(to_ms(age)));
-    if (may.verdict == accounts::permission::unknown_key) {
+    if (permission.verdict == accounts::permission::unknown_key) {
         return refused(sql::refusal::unknown_key, "the key is not known", sql::transaction_state::idle);
     }
     // Another proxy may have later word of the configuration.
@@ -25,25 +26,26 @@
 /// The last look before a statement is sent: a key may have been taken away, or
 /// given to another account, while the request waited for its connection.
 template <routing::link_connector Connector>
-std::optional<sql::reply> statement_engine<Connector>::forbid_on(const statement_run& run, const lease& held) const {
-    auto may = run.permitted();
-    if (may.granted() && may.account_name() != held->account) {
-        may.verdict = accounts::permission::unknown_key;
+std::optional<sql::reply> statement_engine<Connector>::permission_refusal_at_send(const statement_run& run,
+                                                                                  const lease& held) const {
+    auto permission = run.permitted();
+    if (permission.granted() && permission.account_name() != held->account) {
+        permission.verdict = accounts::permission::unknown_key;
     }
-    return forbid(run, may);
+    return permission_refusal(run, permission);
 }
 
 /// Ends a transaction whose request may not run any more; nothing where it may.
 template <routing::link_connector Connector>
-std::optional<sql::reply> statement_engine<Connector>::forbid_inside(transaction& inside, const statement_run& run) {
-    auto forbidden = forbid_on(run, inside.pinned);
+std::optional<sql::reply> statement_engine<Connector>::abort_unpermitted(transaction& tx, const statement_run& run) {
+    auto forbidden = permission_refusal_at_send(run, tx.pinned);
     if (!forbidden) {
         return std::nullopt;
     }
     const auto reason = forbidden->error_text();
-    undo(inside);
+    roll_back_transaction(tx);
     const bool commit = run.request.what.kind == sql::statement_kind::commit;
-    inside.failed = !commit;
+    tx.failed = !commit;
     return refused(sql::refusal::aborted, reason + "; nothing of the transaction is kept",
                    commit ? sql::transaction_state::idle : sql::transaction_state::failed);
 }
--- a/src/cornellever/session/statement_transactions.ipp
+++ b/src/cornellever/session/statement_transactions.ipp
@@ -13,54 +13,53 @@
     batch.back().after = floor;
     held->sent_at = boot_clock::now();
     auto answer = co_await held->connection->exchange(std::move(batch), 0, until);
-    auto& at = *held->home;
+    auto& backend = *held->home;
     if (!answer) {
-        backends.note_failure(at, answer.error());
+        backends.note_failure(backend, answer.error());
         co_return false;
     }
-    backends.heard(at, std::nullopt);
-    backends.note_position(at, answer->position);
+    backends.heard(backend, std::nullopt);
+    backends.note_position(backend, answer->position);
     co_return answer->ok();
 }
 
 /// Takes a connection for a transaction and opens it there.
 template <routing::link_connector Connector>
-asio::awaitable<bool> statement_engine<Connector>::pin(transaction& inside, const statement_run& run,
-                                                       sql::reply& refusal) {
-    auto& backends = *inside.backends;
-    const auto may = run.permitted();
-    if (auto forbidden = forbid(run, may)) {
+asio::awaitable<bool> statement_engine<Connector>::pin(transaction& tx, const statement_run& run, sql::reply& refusal) {
+    auto& backends = *tx.backends;
+    const auto permission = run.permitted();
+    if (auto forbidden = permission_refusal(run, permission)) {
         refusal = std::move(*forbidden);
         co_return false;
     }
-    const std::string account{may.account_name()};
-    const auto account_place = routing::priority_of(run.route.priority, may.account_priority());
-    co_await await_sample(backends, run, !inside.read_only);
-    auto want = want_of(backends, run, !inside.read_only);
-    want.account = account;
-    want.priority = account_place;
+    const std::string account{permission.account_name()};
+    const auto priority = routing::priority_of(run.route.priority, permission.account_priority());
+    co_await await_sample(backends, run, !tx.read_only);
+    auto pool_request = pool_request_for(backends, run, !tx.read_only);
+    pool_request.account = account;
+    pool_request.priority = priority;
     for (;;) {
-        auto held = co_await connection_for(backends, run, want, refusal);
+        auto held = co_await acquire_connection(backends, run, pool_request, refusal);
         if (!held) {
             log_decision(event::request_refused, run, backends.primary(), refusal.error_text());
             co_return false;
         }
         bool opened = false;
-        if (want.primary || held->armed) {
-            opened = co_await arm(backends, held, run.until());
+        if (pool_request.primary || held->armed) {
+            opened = co_await prime_connection(backends, held, run.until());
         } else {
-            opened = co_await open_read_only(backends, held, want.floor, run.until());
-            inside.floor = want.floor;
+            opened = co_await open_read_only(backends, held, pool_request.floor, run.until());
+            tx.floor = pool_request.floor;
         }
         if (opened) {
-            inside.pinned = std::move(held);
+            tx.pinned = std::move(held);
             co_return true;
         }
-        if (!want.primary) {
-            want.avoid.push_back(held.server().id);
-            want.primary = want.avoid.size() + 1 >= backends.entries().size();
-            if (want.primary) {
-                want.avoid.clear();
+        if (!pool_request.primary) {
+            pool_request.avoid.push_back(held.server().id);
+            pool_request.primary = pool_request.avoid.size() + 1 >= backends.entries().size();
+            if (pool_request.primary) {
+                pool_request.avoid.clear();
             }
         }
         held.release();
@@ -69,36 +68,36 @@
 }
 
 template <routing::link_connector Connector>
-sql::reply statement_engine<Connector>::fail_inside(transaction& inside, const statement_run& run,
-                                                    std::string_view reason) {
-    log_decision(event::transaction_failed, run, inside.pinned ? inside.pinned.server().id : "-", reason);
-    undo(inside);
-    inside.failed = true;
+sql::reply statement_engine<Connector>::fail_transaction(transaction& tx, const statement_run& run,
+                                                         std::string_view reason) {
+    log_decision(event::transaction_failed, run, tx.pinned ? tx.pinned.server().id : "-", reason);
+    roll_back_transaction(tx);
+    tx.failed = true;
     return refused(sql::refusal::aborted, std::string{reason} + "; nothing of the transaction is kept",
                    sql::transaction_state::failed);
 }
 
 template <routing::link_connector Connector>
-sql::reply statement_engine<Connector>::finish_commit(transaction& inside, const statement_run& run,
-                                                      const routing::link_reply& got) {
-    auto& held = inside.pinned;
-    auto& at = *held->home;
+sql::reply statement_engine<Connector>::finish_commit(transaction& tx, const statement_run& run,
+                                                      const routing::link_reply& reply) {
+    auto& held = tx.pinned;
+    auto& backend = *held->home;
     sql::reply out;
-    if (got && got->ok()) {
-        log_served(*inside.backends, held, run, inside.floor);
-        out = *got;
-        if (inside.wrote && got->position) {
-            run.session.last_commit = got->position;
-            inside.backends->note_commit(at, held->sent_at, got->position);
+    if (reply && reply->ok()) {
+        log_served(*tx.backends, held, run, tx.floor);
+        out = *reply;
+        if (tx.wrote && reply->position) {
+            run.session.last_commit = reply->position;
+            tx.backends->note_commit(backend, held->sent_at, reply->position);
         }
-    } else if (!inside.wrote || (got && sql::server_did_not_run(got->why())) ||
-               (!got && got.error() == routing::link_failure::not_sent)) {
+    } else if (!tx.wrote || (reply && sql::server_did_not_run(reply->why())) ||
+               (!reply && reply.error() == routing::link_failure::not_sent)) {
         out = refused(sql::refusal::aborted, "the commit did not run", sql::transaction_state::idle);
-        log_decision(event::transaction_failed, run, at.server.id, "commit_not_run");
+        log_decision(event::transaction_failed, run, backend.server.id, "commit_not_run");
         held->connection->close();
     } else {
         out = refused(sql::refusal::outcome_unknown, "no answer to the commit", sql::transaction_state::idle);
-        log_decision(event::outcome_unknown, run, at.server.id, "commit_unanswered");
+        log_decision(event::outcome_unknown, run, backend.server.id, "commit_unanswered");
         held->connection->close();
     }
     out.state = sql::transaction_state::idle;
@@ -107,21 +106,21 @@
 }
 
 template <routing::link_connector Connector>
-asio::awaitable<sql::reply> statement_engine<Connector>::run_inside(transaction& inside, const statement_run& run) {
+asio::awaitable<sql::reply> statement_engine<Connector>::run_in_transaction(transaction& tx, const statement_run& run) {
     const bool commit = run.request.what.kind == sql::statement_kind::commit;
-    const bool first = !inside.pinned;
+    const bool first = !tx.pinned;
     if (first) {
         sql::reply refusal;
-        const bool pinned = co_await pin(inside, run, refusal);
+        const bool pinned = co_await pin(tx, run, refusal);
         if (!pinned) {
-            inside.failed = !commit;
+            tx.failed = !commit;
             refusal.state = commit ? sql::transaction_state::idle : sql::transaction_state::failed;
             co_return refusal;
         }
     }
-    auto& held = inside.pinned;
+    auto& held = tx.pinned;
     held->resting = false;
-    if (auto forbidden = forbid_inside(inside, run)) {
+    if (auto forbidden = abort_unpermitted(tx, run)) {
         co_return *forbidden;
     }
     const bool on_primary = held->armed;
@@ -129,42 +128,42 @@
     for (auto& item : plan_replay(run.session, held->memory, run.prepared)) {
         batch.push_back({.what = std::move(item)});
     }
-    const auto wanted = batch.size();
+    const auto reply_index = batch.size();
     batch.push_back(command_of(run));
-    inside.wrote = inside.wrote || run.writes();
+    tx.wrote = tx.wrote || run.writes();
     if (commit) {
         held->armed = false;
         if (on_primary) {
             batch.push_back(sql::own(sql::statement_kind::begin));
         }
     }
-    auto got = co_await exchange(*inside.backends, held, std::move(batch), wanted, run.until());
+    auto reply = co_await exchange(*tx.backends, held, std::move(batch), reply_index, run.until());
     if (commit) {
-        co_return finish_commit(inside, run, got);
+        co_return finish_commit(tx, run, reply);
     }
-    if (!got) {
-        co_return fail_inside(inside, run, routing::to_string(got.error()));
+    if (!reply) {
+        co_return fail_transaction(tx, run, routing::to_string(reply.error()));
     }
-    if (got->error) {
-        if (got->why() == sql::refusal::not_primary) {
-            inside.backends->note_not_primary(*held->home);
+    if (reply->error) {
+        if (reply->why() == sql::refusal::not_primary) {
+            tx.backends->note_not_primary(*held->home);
         }
-        co_return fail_inside(inside, run, sql::to_string(got->why()));
+        co_return fail_transaction(tx, run, sql::to_string(reply->why()));
     }
-    log_served(*inside.backends, held, run, inside.floor);
-    inside.backends->rest(*held);
-    auto out = *got;
+    log_served(*tx.backends, held, run, tx.floor);
+    tx.backends->rest(*held);
+    auto out = *reply;
     out.state = sql::transaction_state::open;
     co_return out;
 }
 
 template <routing::link_connector Connector>
-void statement_engine<Connector>::undo(transaction& inside) {
-    if (!inside.pinned) {
+void statement_engine<Connector>::roll_back_transaction(transaction& tx) {
+    if (!tx.pinned) {
         return;
     }
-    ++m_counters.transactions_undone;
-    auto& held = inside.pinned;
+    ++m_counters.transactions_rolled_back;
+    auto& held = tx.pinned;
     std::vector<sql::command> batch;
     batch.push_back(sql::own(sql::statement_kind::rollback));
     if (std::exchange(held->armed, false)) {
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -30,7 +30,7 @@
 namespace cornellever::session {
 
 /// The furthest position that a server named while it led.
-struct told_log {
+struct reported_position {
     std::string server;
     sql::log_position furthest;
 };
@@ -52,7 +52,7 @@
         , m_data_center{std::move(data_center)}
         , m_gate{lease}
         , m_engine{m_counters}
-        , m_configuration_due{m_executor, configuration_limit} {}
+        , m_configuration_due{m_executor, max_configuration_wait} {}
 
     /// Takes a newer configuration; an older or equal one is ignored.
     void update(routing::configuration config);
@@ -71,21 +71,21 @@
     /// Has operations of accounts counted from now on.
     void set_operation_limits(operation_limits how) { m_limits = std::move(how); }
 
-    /// Another proxy heard the primary of a service at `heard_at`.
-    void record_primary_path(const std::string& service, const proxy_node& through, boot_clock::time_point heard_at) {
-        m_paths.note(service, through, heard_at);
+    /// Another proxy heard the primary of a service at `last_contact`.
+    void record_primary_path(const std::string& service, const proxy_node& peer, boot_clock::time_point last_contact) {
+        m_paths.record_contact(service, peer, last_contact);
     }
 
     /// Another proxy knows how far a primary's log had come.
-    void note_told(const std::string& service, told_log what);
+    void note_told(const std::string& service, reported_position what);
 
     /// Housekeeping of the pools and of sessions whose path was cut.
     void tick() {
-        watch_paths();
+        update_paths();
         for (auto& [name, backends] : m_pools) {
             backends->tick();
         }
-        close_cut_off();
+        close_relayed_without_primary();
     }
 
     /// Serves one caller until its session ends.
@@ -96,7 +96,7 @@
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
 
     /// From now on sessions end behind their next answer outside a transaction.
-    void close_after_answer() { m_closing = true; }
+    void close_after_answer() { m_close_after_answer = true; }
 
     /// Ends the sessions that rest; later ones end as they come to rest.
     void close_idle_sessions();
@@ -105,7 +105,7 @@
     void close_idle_in_transaction();
 
     /// From now on open transactions are ended too.
-    void abort_transactions() { m_ending_transactions = true; }
+    void abort_transactions() { m_abort_transactions = true; }
 
     [[nodiscard]] std::size_t sessions() const noexcept { return m_sessions.size(); }
     [[nodiscard]] const routing::configuration& config() const noexcept { return m_config; }
@@ -119,76 +119,76 @@
 
 private:
     using transaction = typename engine::transaction;
-    using conversation = session::conversation<Connector>;
-    using part_elsewhere = relayed_part<typename Connector::relay>;
+    using active_session = session::active_session<Connector>;
+    using peer_session = session_at_peer<typename Connector::relay>;
 
-    void share_servers();
+    void update_pools();
     [[nodiscard]] bool owns(const std::string& database);
     asio::awaitable<void> await_configuration();
     asio::awaitable<void> await_proxies();
-    [[nodiscard]] const connection_ownership& share_of(const std::string& service);
-    void share_connections_anew();
-    [[nodiscard]] std::vector<proxy_node> ways_round(const std::string& database, std::uint64_t session) const;
-    void watch_paths();
-    void close_cut_off();
-    void place_session(conversation& with);
-    [[nodiscard]] bool doubted(const part_elsewhere& part) const;
-    [[nodiscard]] std::uint64_t turn_of(const conversation& with) const;
-    [[nodiscard]] std::vector<proxy_node> peers_for(const conversation& with);
-    asio::awaitable<bool> reach_peer(conversation& with);
-    [[nodiscard]] std::optional<sql::reply> note_for_peer(conversation& with, const sql::request& asked);
-    static sql::reply after_failure(part_elsewhere& part, const sql::request& asked);
-    static void pipeline(part_elsewhere& part, const sql::request& asked);
-    [[nodiscard]] static bool writes(const conversation& with, const sql::request& asked);
-    asio::awaitable<routing::link_reply> run_at_peer(conversation& with, const sql::request& asked,
-                                                     boot_clock::time_point until);
-    [[nodiscard]] static bool may_run_again(const conversation& with, const sql::request& asked,
-                                            routing::link_failure why);
-    asio::awaitable<sql::reply> relay(conversation& with, const sql::request& asked);
-    asio::awaitable<sql::reply> run_here(conversation& with, const sql::request& asked);
-    asio::awaitable<sql::reply> answer_where_placed(conversation& with, const sql::request& asked);
-    [[nodiscard]] std::optional<sql::statement_error> refusal_of(const session_opening& opening,
-                                                                 std::string& reason) const;
+    [[nodiscard]] const connection_ownership& ownership_of(const std::string& service);
+    void update_connection_budgets();
+    [[nodiscard]] std::vector<proxy_node> detour_peers(const std::string& database, std::uint64_t session) const;
+    void update_paths();
+    void close_relayed_without_primary();
+    void choose_site(active_session& active);
+    [[nodiscard]] bool peer_suspected(const peer_session& at_peer) const;
+    [[nodiscard]] std::uint64_t spreading_key(const active_session& active) const;
+    [[nodiscard]] std::vector<proxy_node> candidate_peers(const active_session& active);
+    asio::awaitable<bool> open_at_peer(active_session& active);
+    [[nodiscard]] std::optional<sql::reply> answer_locally(active_session& active, const sql::request& request);
+    static sql::reply answer_after_failure(peer_session& at_peer, const sql::request& request);
+    static void pipeline(peer_session& at_peer, const sql::request& request);
+    [[nodiscard]] static bool writes(const active_session& active, const sql::request& request);
+    asio::awaitable<routing::link_reply> execute_at_peer(active_session& active, const sql::request& request,
+                                                         boot_clock::time_point until);
+    [[nodiscard]] static bool may_retry(const active_session& active, const sql::request& request,
+                                        routing::link_failure why);
+    asio::awaitable<sql::reply> relay(active_session& active, const sql::request& request);
+    asio::awaitable<sql::reply> execute_locally(active_session& active, const sql::request& request);
+    asio::awaitable<sql::reply> answer_at_site(active_session& active, const sql::request& request);
+    [[nodiscard]] std::optional<sql::statement_error> opening_refusal(const session_opening& opening,
+                                                                      std::string& reason) const;
     [[nodiscard]] bool refuse_opening(const session_opening& opening, auto& caller);
-    [[nodiscard]] std::optional<sql::reply> refuse_key(conversation& with, const sql::request& asked);
-    [[nodiscard]] static bool starts_operation(const conversation& with, const sql::request& asked);
-    asio::awaitable<std::optional<sql::reply>> refuse_over_limit(conversation& with, const sql::request& asked);
+    [[nodiscard]] std::optional<sql::reply> refuse_revoked_key(active_session& active, const sql::request& request);
+    [[nodiscard]] static bool starts_operation(const active_session& active, const sql::request& request);
+    asio::awaitable<std::optional<sql::reply>> refuse_over_limit(active_session& active, const sql::request& request);
     asio::awaitable<void> await_version(std::uint64_t version);
     void count(const sql::reply& out, boot_clock::time_point arrival);
-    asio::awaitable<sql::reply> answer(conversation& with, const sql::request& asked);
-    asio::awaitable<sql::reply> run(conversation& with, const sql::request& asked);
-    sql::reply begin(conversation& with, bool read_only);
-    sql::reply roll_back(conversation& with);
-    sql::reply prepare(conversation& with, const sql::statement& what);
-    sql::reply deallocate(conversation& with, const sql::statement& what);
-    [[nodiscard]] static sql::transaction_state state_of(const conversation& with);
-    [[nodiscard]] boot_clock::time_point silence_limit(const conversation& with) const;
+    asio::awaitable<sql::reply> answer(active_session& active, const sql::request& request);
+    asio::awaitable<sql::reply> run(active_session& active, const sql::request& request);
+    sql::reply begin(active_session& active, bool read_only);
+    sql::reply roll_back(active_session& active);
+    sql::reply prepare(active_session& active, const sql::statement& what);
+    sql::reply deallocate(active_session& active, const sql::statement& what);
+    [[nodiscard]] static sql::transaction_state state_of(const active_session& active);
+    [[nodiscard]] boot_clock::time_point request_deadline(const active_session& active) const;
 
     /// A session without a transaction may rest as long as it likes.
-    static constexpr std::chrono::hours resting_limit{24};
+    static constexpr std::chrono::hours idle_session_limit{24};
     /// A connection is taken by the VM itself, in a round trip.
-    static constexpr std::chrono::milliseconds owner_limit{100};
+    static constexpr std::chrono::milliseconds peer_connect_timeout{100};
     /// Other proxies that are tried for one operation: its caller waits
     /// meanwhile, and aims at 120 ms.
-    static constexpr std::size_t peer_tries = 2;
+    static constexpr std::size_t max_peer_attempts = 2;
     /// One that took no session, or ended it, comes last for so long. A process
     /// that was stopped is back sooner, but the others serve meanwhile; one
-    /// behind a cut path costs a caller `owner_limit` at each try.
-    static constexpr std::chrono::milliseconds unreached_for{5000};
+    /// behind a cut path costs a caller `peer_connect_timeout` at each try.
+    static constexpr std::chrono::milliseconds peer_backoff{5000};
     /// From the start of the process: twice what the slowest of 88 small VMs
     /// took to load 1,346 databases after all had been started together
     /// (0.48 s). Callers give up an opening after 2 s.
-    static constexpr std::chrono::milliseconds configuration_limit{1000};
+    static constexpr std::chrono::milliseconds max_configuration_wait{1000};
     /// A caller gives up an opening after 2 s.
-    static constexpr std::chrono::milliseconds proxies_limit{1000};
+    static constexpr std::chrono::milliseconds max_membership_wait{1000};
     /// A configuration comes to all proxies within several heartbeats.
-    static constexpr std::chrono::milliseconds version_limit{300};
+    static constexpr std::chrono::milliseconds max_version_wait{300};
     /// A primary that others hear and this proxy does not, for so long, is cut
     /// off from it: it is asked five times a second at least, and a connection
     /// that the network gave up shows in 0.7 s.
-    static constexpr std::chrono::milliseconds cut_after{600};
+    static constexpr std::chrono::milliseconds primary_silence_limit{600};
     /// The owner answers by the statement's timeout itself.
-    static constexpr std::chrono::milliseconds owner_slack{300};
+    static constexpr std::chrono::milliseconds peer_reply_slack{300};
 
     asio::any_io_executor m_executor;
     Connector& m_connector;
@@ -199,9 +199,9 @@
     std::vector<proxy_node> m_proxies;
     primary_paths m_paths;
     /// Proxies that took no session or ended it, and when.
-    std::map<std::string, boot_clock::time_point, std::less<>> m_unreached;
+    std::map<std::string, boot_clock::time_point, std::less<>> m_peer_failures;
     /// By service, worked out when first asked for.
-    std::map<std::string, connection_ownership, std::less<>> m_shares;
+    std::map<std::string, connection_ownership, std::less<>> m_ownership;
     traffic_counters m_counters;
     accounts::gate m_gate;
     operation_limits m_limits;
@@ -210,12 +210,12 @@
     asio::steady_timer m_configuration_due;
     std::map<std::string, std::unique_ptr<pool>, std::less<>> m_pools;
     /// By service, for pools that are not made yet.
-    std::map<std::string, told_log, std::less<>> m_told_logs;
-    std::set<conversation*> m_sessions;
-    std::uint64_t m_last_session{0};
-    bool m_closing{false};
-    bool m_closing_resting{false};
-    bool m_ending_transactions{false};
+    std::map<std::string, reported_position, std::less<>> m_reported_positions;
+    std::set<active_session*> m_sessions;
+    std::uint64_t m_last_session_id{0};
+    bool m_close_after_answer{false};
+    bool m_close_idle_sessions{false};
+    bool m_abort_transactions{false};
 };
 
 } // namespace cornellever::session
--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -16,7 +16,7 @@
     for (auto& [name, backends] : m_pools) {
         backends->start_epoch(boot_clock::now());
     }
-    share_connections_anew();
+    update_connection_budgets();
 }
 
 template <routing::link_connector Connector>
@@ -25,11 +25,11 @@
         return;
     }
     m_registry = std::move(servers);
-    share_servers();
+    update_pools();
 }
 
 template <routing::link_connector Connector>
-void traffic<Connector>::share_servers() {
+void traffic<Connector>::update_pools() {
     const auto registered = routing::group_by_service(m_registry);
     for (auto& [name, backends] : m_pools) {
         const auto own = registered.find(name);
@@ -44,7 +44,7 @@
         return;
     }
     ++m_counters.statements_served;
-    m_counters.served_in.record(boot_clock::now() - arrival);
+    m_counters.statement_latency.record(boot_clock::now() - arrival);
 }
 
 template <routing::link_connector Connector>
@@ -52,47 +52,47 @@
     auto& found = m_pools[service];
     if (found == nullptr) {
         found = std::make_unique<pool>(m_executor, m_connector, service, m_data_center);
-        if (const auto told = m_told_logs.extract(service)) {
-            found->note_told(told.mapped().server, told.mapped().furthest);
+        if (const auto reported = m_reported_positions.extract(service)) {
+            found->note_told(reported.mapped().server, reported.mapped().furthest);
         }
-        share_connections_anew();
-        share_servers();
+        update_connection_budgets();
+        update_pools();
     }
     return *found;
 }
 
 template <routing::link_connector Connector>
-void traffic<Connector>::note_told(const std::string& service, told_log what) {
+void traffic<Connector>::note_told(const std::string& service, reported_position what) {
     if (const auto found = m_pools.find(service); found != m_pools.end()) {
         found->second->note_told(what.server, what.furthest);
     } else if (m_config.services.contains(service)) {
-        m_told_logs.insert_or_assign(service, std::move(what));
+        m_reported_positions.insert_or_assign(service, std::move(what));
     }
 }
 
 template <routing::link_connector Connector>
-sql::transaction_state traffic<Connector>::state_of(const conversation& with) {
-    if (!with.open) {
-        return with.elsewhere.state;
+sql::transaction_state traffic<Connector>::state_of(const active_session& active) {
+    if (!active.open_transaction) {
+        return active.at_peer.state;
     }
-    return with.open->failed ? sql::transaction_state::failed : sql::transaction_state::open;
+    return active.open_transaction->failed ? sql::transaction_state::failed : sql::transaction_state::open;
 }
 
 template <routing::link_connector Connector>
-boot_clock::time_point traffic<Connector>::silence_limit(const conversation& with) const {
+boot_clock::time_point traffic<Connector>::request_deadline(const active_session& active) const {
     const auto now = boot_clock::now();
-    if (!with.open || m_config.transaction_idle.count() == 0) {
-        return now + resting_limit;
+    if (!active.open_transaction || m_config.transaction_idle.count() == 0) {
+        return now + idle_session_limit;
     }
     return now + m_config.transaction_idle;
 }
 
 template <routing::link_connector Connector>
 void traffic<Connector>::close_idle_sessions() {
-    m_closing = true;
-    m_closing_resting = true;
+    m_close_after_answer = true;
+    m_close_idle_sessions = true;
     for (auto* item : m_sessions) {
-        if (item->status.resting) {
+        if (item->status.is_idle) {
             item->status.close_if_no_input();
         }
     }
@@ -101,7 +101,7 @@
 template <routing::link_connector Connector>
 void traffic<Connector>::close_idle_in_transaction() {
     for (auto* item : m_sessions) {
-        if (item->status.waited_for && !item->status.resting) {
+        if (item->status.awaiting_request && !item->status.is_idle) {
             item->status.close_if_no_input();
         }
     }
@@ -134,199 +134,199 @@
     if (refuse_opening(*opening, caller)) {
         co_return;
     }
-    conversation with;
-    with.state.id = ++m_last_session;
-    with.state.database = opening->database;
-    with.state.key = opening->key;
-    with.state.last_commit = opening->last_commit;
-    with.status.close_if_no_input = [&caller] { caller.close_if_no_input(); };
-    with.relayed = opening->relayed;
-    m_sessions.insert(&with);
+    active_session active;
+    active.state.id = ++m_last_session_id;
+    active.state.database = opening->database;
+    active.state.key = opening->key;
+    active.state.last_commit = opening->last_commit;
+    active.status.close_if_no_input = [&caller] { caller.close_if_no_input(); };
+    active.relayed = opening->relayed;
+    m_sessions.insert(&active);
     ++m_counters.sessions_opened;
     caller.welcome();
     bool answered = false;
     for (;;) {
-        with.status.resting = with.between_operations();
-        const bool closing = m_closing_resting || (m_closing && answered);
+        active.status.is_idle = active.outside_transaction();
+        const bool closing = m_close_idle_sessions || (m_close_after_answer && answered);
         // A request that has arrived is still answered: the caller could not
         // know that the session was about to end.
-        if (closing && with.status.resting && caller.close_if_no_input()) {
+        if (closing && active.status.is_idle && caller.close_if_no_input()) {
             break;
         }
-        with.status.waited_for = true;
-        auto happened = co_await caller.next(silence_limit(with));
-        with.status.waited_for = false;
-        with.status.resting = false;
-        if (const auto* asked = std::get_if<sql::request>(&happened)) {
+        active.status.awaiting_request = true;
+        auto input = co_await caller.next(request_deadline(active));
+        active.status.awaiting_request = false;
+        active.status.is_idle = false;
+        if (const auto* request = std::get_if<sql::request>(&input)) {
             const auto arrival = boot_clock::now();
-            if (const auto taken = refuse_key(with, *asked)) {
-                count(*taken, arrival);
-                caller.send(*taken);
+            if (const auto key_refusal = refuse_revoked_key(active, *request)) {
+                count(*key_refusal, arrival);
+                caller.send(*key_refusal);
                 break;
             }
-            if (!with.relayed && m_proxies.empty()) {
+            if (!active.relayed && m_proxies.empty()) {
                 co_await await_proxies();
             }
-            if (starts_operation(with, *asked)) {
-                if (const auto over = co_await refuse_over_limit(with, *asked)) {
-                    count(*over, arrival);
-                    caller.send(*over);
+            if (starts_operation(active, *request)) {
+                if (const auto limit_refusal = co_await refuse_over_limit(active, *request)) {
+                    count(*limit_refusal, arrival);
+                    caller.send(*limit_refusal);
                     answered = true;
                     continue;
                 }
             }
-            const sql::reply out = co_await answer_where_placed(with, *asked);
+            const sql::reply out = co_await answer_at_site(active, *request);
             count(out, arrival);
             caller.send(out);
             answered = true;
             continue;
         }
-        if (const auto* garbled = std::get_if<malformed_input>(&happened)) {
-            caller.send(refused(sql::refusal::malformed, garbled->why, state_of(with)));
+        if (const auto* bad_input = std::get_if<malformed_input>(&input)) {
+            caller.send(refused(sql::refusal::malformed, bad_input->why, state_of(active)));
             continue;
         }
-        if (std::holds_alternative<caller_timed_out>(happened) && with.open) {
+        if (std::holds_alternative<caller_timed_out>(input) && active.open_transaction) {
             // The connection that the transaction holds is wanted by others.
-            log_event(event::transaction_abandoned, "database=" + with.state.database + " reason=idle");
-            m_engine.undo(*with.open);
-            with.open->failed = true;
+            log_event(event::transaction_abandoned, "database=" + active.state.database + " reason=idle");
+            m_engine.roll_back_transaction(*active.open_transaction);
+            active.open_transaction->failed = true;
             continue;
         }
         break;
     }
-    if (with.open) {
-        m_engine.undo(*with.open);
+    if (active.open_transaction) {
+        m_engine.roll_back_transaction(*active.open_transaction);
     }
-    with.elsewhere.close();
-    m_sessions.erase(&with);
+    active.at_peer.close();
+    m_sessions.erase(&active);
     caller.close();
 }
 
 template <routing::link_connector Connector>
-asio::awaitable<sql::reply> traffic<Connector>::answer_where_placed(conversation& with, const sql::request& asked) {
-    place_session(with);
-    if (with.where == served_by::itself) {
-        co_return co_await answer(with, asked);
+asio::awaitable<sql::reply> traffic<Connector>::answer_at_site(active_session& active, const sql::request& request) {
+    choose_site(active);
+    if (active.site == execution_site::local) {
+        co_return co_await answer(active, request);
     }
-    co_return co_await relay(with, asked);
+    co_return co_await relay(active, request);
 }
 
 template <routing::link_connector Connector>
-sql::reply traffic<Connector>::begin(conversation& with, bool read_only) {
-    if (with.open) {
-        return refused(sql::refusal::malformed, "a transaction is open", state_of(with));
+sql::reply traffic<Connector>::begin(active_session& active, bool read_only) {
+    if (active.open_transaction) {
+        return refused(sql::refusal::malformed, "a transaction is open", state_of(active));
     }
-    const auto route = m_config.routes.find(with.state.database);
+    const auto route = m_config.routes.find(active.state.database);
     if (route == m_config.routes.end()) {
-        return refused(sql::refusal::no_such_database, with.state.database, sql::transaction_state::idle);
+        return refused(sql::refusal::no_such_database, active.state.database, sql::transaction_state::idle);
     }
-    with.open.emplace(
+    active.open_transaction.emplace(
         transaction{.route = route->second, .backends = &pool_for(route->second.service), .read_only = read_only});
     ++m_counters.transactions_opened;
     return acknowledged(sql::transaction_state::open);
 }
 
 template <routing::link_connector Connector>
-sql::reply traffic<Connector>::roll_back(conversation& with) {
-    if (with.open) {
-        m_engine.undo(*with.open);
-        with.open.reset();
+sql::reply traffic<Connector>::roll_back(active_session& active) {
+    if (active.open_transaction) {
+        m_engine.roll_back_transaction(*active.open_transaction);
+        active.open_transaction.reset();
     }
     return acknowledged(sql::transaction_state::idle);
 }
 
 template <routing::link_connector Connector>
-sql::reply traffic<Connector>::prepare(conversation& with, const sql::statement& what) {
-    with.state.prepared.insert_or_assign(what.name, prepared_statement{what.touches, what.text});
-    return acknowledged(state_of(with));
+sql::reply traffic<Connector>::prepare(active_session& active, const sql::statement& what) {
+    active.state.prepared.insert_or_assign(what.name, prepared_statement{what.touches, what.text});
+    return acknowledged(state_of(active));
 }
 
 template <routing::link_connector Connector>
-sql::reply traffic<Connector>::deallocate(conversation& with, const sql::statement& what) {
-    if (with.state.prepared.erase(what.name) == 0) {
-        return refused(sql::refusal::no_such_prepared_statement, what.name, state_of(with));
+sql::reply traffic<Connector>::deallocate(active_session& active, const sql::statement& what) {
+    if (active.state.prepared.erase(what.name) == 0) {
+        return refused(sql::refusal::no_such_prepared_statement, what.name, state_of(active));
     }
-    return acknowledged(state_of(with));
+    return acknowledged(state_of(active));
 }
 
 template <routing::link_connector Connector>
-asio::awaitable<sql::reply> traffic<Connector>::answer(conversation& with, const sql::request& asked) {
-    const auto kind = asked.what.kind;
+asio::awaitable<sql::reply> traffic<Connector>::answer(active_session& active, const sql::request& request) {
+    const auto kind = request.what.kind;
     const bool ends = kind == sql::statement_kind::commit || kind == sql::statement_kind::rollback;
-    if (with.open && with.open->failed) {
+    if (active.open_transaction && active.open_transaction->failed) {
         if (!ends) {
             co_return refused(sql::refusal::malformed, "the transaction failed", sql::transaction_state::failed);
         }
-        with.open.reset();
+        active.open_transaction.reset();
         if (kind == sql::statement_kind::rollback) {
             co_return acknowledged(sql::transaction_state::idle);
         }
         co_return refused(sql::refusal::aborted, "the transaction failed", sql::transaction_state::idle);
     }
-    if (with.open && m_ending_transactions && kind != sql::statement_kind::commit) {
-        m_engine.undo(*with.open);
-        with.open->failed = true;
+    if (active.open_transaction && m_abort_transactions && kind != sql::statement_kind::commit) {
+        m_engine.roll_back_transaction(*active.open_transaction);
+        active.open_transaction->failed = true;
         co_return refused(sql::refusal::aborted, "this proxy is stopping", sql::transaction_state::failed);
     }
     switch (kind) {
     case sql::statement_kind::begin:
-        co_return begin(with, false);
+        co_return begin(active, false);
     case sql::statement_kind::begin_read_only:
-        co_return begin(with, true);
+        co_return begin(active, true);
     case sql::statement_kind::rollback:
-        co_return roll_back(with);
+        co_return roll_back(active);
     case sql::statement_kind::set:
-        with.state.values.insert_or_assign(asked.what.name, asked.what.text);
-        co_return acknowledged(state_of(with));
+        active.state.values.insert_or_assign(request.what.name, request.what.text);
+        co_return acknowledged(state_of(active));
     case sql::statement_kind::prepare:
-        co_return prepare(with, asked.what);
+        co_return prepare(active, request.what);
     case sql::statement_kind::deallocate:
-        co_return deallocate(with, asked.what);
+        co_return deallocate(active, request.what);
     case sql::statement_kind::commit:
     case sql::statement_kind::read:
     case sql::statement_kind::write:
     case sql::statement_kind::execute:
         break;
     default:
-        co_return refused(sql::refusal::malformed, "not a caller's statement", state_of(with));
+        co_return refused(sql::refusal::malformed, "not a caller's statement", state_of(active));
     }
-    co_return co_await run(with, asked);
+    co_return co_await run(active, request);
 }
 
 /// Runs what a backend server has to run.
 template <routing::link_connector Connector>
-asio::awaitable<sql::reply> traffic<Connector>::run(conversation& with, const sql::request& asked) {
+asio::awaitable<sql::reply> traffic<Connector>::run(active_session& active, const sql::request& request) {
     const auto arrival = boot_clock::now();
     const prepared_statement* prepared = nullptr;
-    if (asked.what.kind == sql::statement_kind::execute) {
-        const auto found = with.state.prepared.find(asked.what.name);
-        if (found == with.state.prepared.end()) {
-            co_return refused(sql::refusal::no_such_prepared_statement, asked.what.name, state_of(with));
+    if (request.what.kind == sql::statement_kind::execute) {
+        const auto found = active.state.prepared.find(request.what.name);
+        if (found == active.state.prepared.end()) {
+            co_return refused(sql::refusal::no_such_prepared_statement, request.what.name, state_of(active));
         }
         prepared = &found->second;
     }
-    if (!with.open) {
-        if (asked.what.kind == sql::statement_kind::commit) {
+    if (!active.open_transaction) {
+        if (request.what.kind == sql::statement_kind::commit) {
             co_return refused(sql::refusal::malformed, "no transaction is open", sql::transaction_state::idle);
         }
-        const auto found = m_config.routes.find(with.state.database);
+        const auto found = m_config.routes.find(active.state.database);
         if (found == m_config.routes.end()) {
-            co_return refused(sql::refusal::no_such_database, with.state.database, sql::transaction_state::idle);
+            co_return refused(sql::refusal::no_such_database, active.state.database, sql::transaction_state::idle);
         }
         // A copy: a newer configuration may replace it while the statement runs.
         const auto route = found->second;
-        const statement_run one{route, m_gate, with.state, asked, prepared, arrival};
-        co_return co_await m_engine.run_alone(pool_for(route.service), one);
+        const statement_run execution{route, m_gate, active.state, request, prepared, arrival};
+        co_return co_await m_engine.run_autocommit(pool_for(route.service), execution);
     }
-    const statement_run one{with.open->route, m_gate, with.state, asked, prepared, arrival};
-    if (with.open->read_only && one.writes()) {
-        m_engine.undo(*with.open);
-        with.open->failed = true;
+    const statement_run execution{active.open_transaction->route, m_gate, active.state, request, prepared, arrival};
+    if (active.open_transaction->read_only && execution.writes()) {
+        m_engine.roll_back_transaction(*active.open_transaction);
+        active.open_transaction->failed = true;
         co_return refused(sql::refusal::not_primary, "the transaction only reads", sql::transaction_state::failed);
     }
-    auto out = co_await m_engine.run_inside(*with.open, one);
-    if (asked.what.kind == sql::statement_kind::commit) {
-        with.open.reset();
+    auto out = co_await m_engine.run_in_transaction(*active.open_transaction, execution);
+    if (request.what.kind == sql::statement_kind::commit) {
+        active.open_transaction.reset();
     }
     co_return out;
 }
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -8,7 +8,7 @@
 /// one did.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_version(std::uint64_t version) {
-    const auto until = boot_clock::now() + version_limit;
+    const auto until = boot_clock::now() + max_version_wait;
     while (m_config.version < version && boot_clock::now() < until) {
         co_await sleep_for(std::chrono::milliseconds{20});
     }
@@ -16,26 +16,26 @@
 
 /// Why an opening can't be served; nothing where it can.
 template <routing::link_connector Connector>
-std::optional<sql::statement_error> traffic<Connector>::refusal_of(const session_opening& opening,
-                                                                   std::string& reason) const {
+std::optional<sql::statement_error> traffic<Connector>::opening_refusal(const session_opening& opening,
+                                                                        std::string& reason) const {
     const auto route = m_config.routes.find(opening.database);
     if (route == m_config.routes.end()) {
         const auto why = has_configuration() ? sql::refusal::no_such_database : sql::refusal::overloaded;
         reason = sql::to_string(why);
         return sql::statement_error{why, opening.database};
     }
-    const auto may = m_gate.ask(route->second.keyless, opening.key, boot_clock::now());
-    if (may.verdict == accounts::permission::unknown_key) {
-        reason = to_string(may.verdict);
+    const auto permission = m_gate.ask(route->second.keyless, opening.key, boot_clock::now());
+    if (permission.verdict == accounts::permission::unknown_key) {
+        reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::unknown_key, "the key is not known"};
     }
     // The proxy that asks has others to try, and knows none of them to be any
     // better than this one.
-    if (opening.relayed && !may.granted()) {
-        reason = to_string(may.verdict);
+    if (opening.relayed && !permission.granted()) {
+        reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::overloaded, "the configuration is not known to be current"};
     }
-    if (opening.relayed && !ways_round(opening.database, 0).empty()) {
+    if (opening.relayed && !detour_peers(opening.database, 0).empty()) {
         reason = "path_cut";
         return sql::statement_error{sql::refusal::overloaded, "the primary is out of reach"};
     }
@@ -46,7 +46,7 @@
 template <routing::link_connector Connector>
 bool traffic<Connector>::refuse_opening(const session_opening& opening, auto& caller) {
     std::string reason;
-    const auto refusal = refusal_of(opening, reason);
+    const auto refusal = opening_refusal(opening, reason);
     if (!refusal) {
         return false;
     }
@@ -61,25 +61,25 @@
 /// A session whose key was taken away runs nothing more, wherever its
 /// statements run; nothing where the key still stands for an account.
 template <routing::link_connector Connector>
-std::optional<sql::reply> traffic<Connector>::refuse_key(conversation& with, const sql::request& asked) {
-    const auto route = m_config.routes.find(with.state.database);
+std::optional<sql::reply> traffic<Connector>::refuse_revoked_key(active_session& active, const sql::request& request) {
+    const auto route = m_config.routes.find(active.state.database);
     if (route == m_config.routes.end()) {
         return std::nullopt;
     }
-    const auto may = m_gate.ask(route->second.keyless, with.state.key, boot_clock::now());
-    if (may.verdict != accounts::permission::unknown_key) {
+    const auto permission = m_gate.ask(route->second.keyless, active.state.key, boot_clock::now());
+    if (permission.verdict != accounts::permission::unknown_key) {
         return std::nullopt;
     }
-    log_event(event::request_forbidden, "request=" + asked.id + " database=" + with.state.database +
-                                            " reason=unknown_key key=" + with.state.key.fingerprint() +
+    log_event(event::request_forbidden, "request=" + request.id + " database=" + active.state.database +
+                                            " reason=unknown_key key=" + active.state.key.fingerprint() +
                                             " config=" + std::to_string(m_config.version));
-    const bool inside = !with.between_operations();
-    if (with.open) {
-        m_engine.undo(*with.open);
-        with.open.reset();
+    const bool inside = !active.outside_transaction();
+    if (active.open_transaction) {
+        m_engine.roll_back_transaction(*active.open_transaction);
+        active.open_transaction.reset();
     }
-    with.elsewhere.close();
-    with.elsewhere.state = sql::transaction_state::idle;
+    active.at_peer.close();
+    active.at_peer.state = sql::transaction_state::idle;
     return refused(inside ? sql::refusal::aborted : sql::refusal::unknown_key, "the key is not known any more",
                    sql::transaction_state::idle);
 }
@@ -87,11 +87,11 @@
 /// Limits count operations: a statement by itself, or a transaction, which is
 /// refused at its start or not at all.
 template <routing::link_connector Connector>
-bool traffic<Connector>::starts_operation(const conversation& with, const sql::request& asked) {
-    if (with.relayed || !with.between_operations()) {
+bool traffic<Connector>::starts_operation(const active_session& active, const sql::request& request) {
+    if (active.relayed || !active.outside_transaction()) {
         return false;
     }
-    switch (asked.what.kind) {
+    switch (request.what.kind) {
     case sql::statement_kind::begin:
     case sql::statement_kind::begin_read_only:
     case sql::statement_kind::read:
@@ -106,25 +106,25 @@
 /// Refuses an operation beyond its account's limit before it waits for anything
 /// or is sent anywhere, so that a flood costs other accounts nothing.
 template <routing::link_connector Connector>
-asio::awaitable<std::optional<sql::reply>> traffic<Connector>::refuse_over_limit(conversation& with,
-                                                                                 const sql::request& asked) {
-    const auto route = m_config.routes.find(with.state.database);
+asio::awaitable<std::optional<sql::reply>> traffic<Connector>::refuse_over_limit(active_session& active,
+                                                                                 const sql::request& request) {
+    const auto route = m_config.routes.find(active.state.database);
     if (!m_limits.admit || route == m_config.routes.end()) {
         co_return std::nullopt;
     }
-    const auto may = m_gate.ask(route->second.keyless, with.state.key, boot_clock::now());
-    if (may.who == nullptr || !may.who->limit) {
+    const auto permission = m_gate.ask(route->second.keyless, active.state.key, boot_clock::now());
+    if (permission.who == nullptr || !permission.who->limit) {
         co_return std::nullopt;
     }
-    const auto account = may.who->name;
-    const auto verdict = co_await m_limits.admit(account, *may.who->limit);
+    const auto account = permission.who->name;
+    const auto verdict = co_await m_limits.admit(account, *permission.who->limit);
     if (verdict.what == limits::limit_verdict::kind::granted) {
         co_return std::nullopt;
     }
     const bool used_up = verdict.what == limits::limit_verdict::kind::used_up;
-    ++(used_up ? m_counters.over_limit : m_counters.limit_unknown);
-    log_event(event::limit_refused, "request=" + asked.id + " database=" + with.state.database + " account=" + account +
-                                        " reason=" + (used_up ? "used_up" : "no_coordinator") +
+    ++(used_up ? m_counters.over_limit_refusals : m_counters.unknown_limit_refusals);
+    log_event(event::limit_refused, "request=" + request.id + " database=" + active.state.database +
+                                        " account=" + account + " reason=" + (used_up ? "used_up" : "no_coordinator") +
                                         " asked=" + std::to_string(verdict.asked) +
                                         " wait_ms=" + std::to_string(verdict.wait.count()));
     co_return refused_for_now(used_up ? "the account's limit is used up" : "the account's limit is not known",
@@ -135,9 +135,9 @@
 /// ones: its connections to the servers lie at few proxies, and one that is open
 /// is more often of the right account.
 template <routing::link_connector Connector>
-std::uint64_t traffic<Connector>::turn_of(const conversation& with) const {
-    const auto* who = m_gate.accounts().holder(with.state.key);
-    return who == nullptr ? with.state.id : stable_hash({who->name});
+std::uint64_t traffic<Connector>::spreading_key(const active_session& active) const {
+    const auto* who = m_gate.accounts().holder(active.state.key);
+    return who == nullptr ? active.state.id : stable_hash({who->name});
 }
 
 } // namespace cornellever::session
--- a/src/cornellever/session/traffic_sharing.ipp
+++ b/src/cornellever/session/traffic_sharing.ipp
@@ -10,12 +10,12 @@
     if (m_limits.set_proxies) {
         m_limits.set_proxies(m_proxies, complete);
     }
-    share_connections_anew();
+    update_connection_budgets();
 }
 
 template <routing::link_connector Connector>
-const connection_ownership& traffic<Connector>::share_of(const std::string& service) {
-    auto [at, missing] = m_shares.try_emplace(service);
+const connection_ownership& traffic<Connector>::ownership_of(const std::string& service) {
+    auto [at, missing] = m_ownership.try_emplace(service);
     const auto limits = m_config.services.find(service);
     if (missing && limits != m_config.services.end() && !m_proxies.empty()) {
         at->second = allocate_connections(service, limits->second.max_connections, m_proxies);
@@ -24,22 +24,22 @@
 }
 
 template <routing::link_connector Connector>
-void traffic<Connector>::share_connections_anew() {
-    m_shares.clear();
+void traffic<Connector>::update_connection_budgets() {
+    m_ownership.clear();
     for (auto& [name, backends] : m_pools) {
-        const auto& shared = share_of(name);
+        const auto& ownership = ownership_of(name);
         // One that was an owner until now still serves the sessions it has.
-        const auto sharers = shared.owners.empty() ? m_proxies.size() : shared.owners.size();
-        const bool owned = shared.owns(m_name);
-        backends->set_budget(owned ? shared.connections_each : 1, sharers, owned,
-                             owned ? shared.connections_each_under_load : 1);
+        const auto owner_count = ownership.owners.empty() ? m_proxies.size() : ownership.owners.size();
+        const bool is_owner = ownership.owns(m_name);
+        backends->set_budget(is_owner ? ownership.connections_each : 1, owner_count, is_owner,
+                             is_owner ? ownership.connections_each_under_load : 1);
     }
 }
 
 template <routing::link_connector Connector>
 bool traffic<Connector>::owns(const std::string& database) {
     const auto route = m_config.routes.find(database);
-    return route == m_config.routes.end() || share_of(route->second.service).owns(m_name);
+    return route == m_config.routes.end() || ownership_of(route->second.service).owns(m_name);
 }
 
 /// A proxy that has just started does not know yet who owns connections. If it
@@ -47,7 +47,7 @@
 /// be full before its owners came.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_proxies() {
-    const auto until = boot_clock::now() + proxies_limit;
+    const auto until = boot_clock::now() + max_membership_wait;
     while (m_proxies.empty() && boot_clock::now() < until) {
         co_await sleep_for(std::chrono::milliseconds{20});
     }
@@ -55,31 +55,31 @@
 
 /// The proxies that reach the primary of a database while this one does not.
 template <routing::link_connector Connector>
-std::vector<proxy_node> traffic<Connector>::ways_round(const std::string& database, std::uint64_t session) const {
+std::vector<proxy_node> traffic<Connector>::detour_peers(const std::string& database, std::uint64_t session) const {
     const auto route = m_config.routes.find(database);
     const auto found = route == m_config.routes.end() ? m_pools.end() : m_pools.find(route->second.service);
-    if (found == m_pools.end() || !found->second->primary_silent_for(cut_after)) {
+    if (found == m_pools.end() || !found->second->primary_silent_for(primary_silence_limit)) {
         return {};
     }
-    return m_paths.through(found->first, session, boot_clock::now(), found->second->sight().heard_at);
+    return m_paths.peers_reaching(found->first, session, boot_clock::now(), found->second->sight().heard_at);
 }
 
 /// Tells each pool whether its primary is lost to this proxy alone.
 template <routing::link_connector Connector>
-void traffic<Connector>::watch_paths() {
+void traffic<Connector>::update_paths() {
     const auto now = boot_clock::now();
     for (auto& [name, backends] : m_pools) {
-        const bool silent = backends->primary_silent_for(cut_after);
-        backends->set_path_cut(silent && !m_paths.through(name, 0, now, backends->sight().heard_at).empty());
+        const bool silent = backends->primary_silent_for(primary_silence_limit);
+        backends->set_path_cut(silent && !m_paths.peers_reaching(name, 0, now, backends->sight().heard_at).empty());
     }
 }
 
 /// Ends relayed sessions at rest whose path to the primary was cut here: the
 /// proxies that relay them have others to try.
 template <routing::link_connector Connector>
-void traffic<Connector>::close_cut_off() {
+void traffic<Connector>::close_relayed_without_primary() {
     for (auto* item : m_sessions) {
-        if (item->relayed && item->status.resting && !ways_round(item->state.database, 0).empty()) {
+        if (item->relayed && item->status.is_idle && !detour_peers(item->state.database, 0).empty()) {
             item->status.close_if_no_input();
         }
     }
--- a/tests/unit/path_cut.cpp
+++ b/tests/unit/path_cut.cpp
@@ -103,13 +103,14 @@
 BOOST_AUTO_TEST_CASE(sessions_are_spread_over_the_peers_that_heard_it_lately) {
     const auto now = boot_clock::now();
     session::primary_paths paths;
-    paths.note("stock", {"a", "here", {}}, now);
-    paths.note("stock", {"b", "there", {}}, now - 500ms);
-    paths.note("stock", {"c", "there", {}}, now - 3s);
+    paths.record_contact("stock", {"a", "here", {}}, now);
+    paths.record_contact("stock", {"b", "there", {}}, now - 500ms);
+    paths.record_contact("stock", {"c", "there", {}}, now - 3s);
     const auto here = now - 1s;
-    BOOST_TEST(paths.through("stock", 0, now, here).size() == 2U);
-    BOOST_TEST(paths.through("stock", 0, now, here).front().name != paths.through("stock", 1, now, here).front().name);
-    BOOST_TEST(paths.through("badges", 0, now, here).empty());
+    BOOST_TEST(paths.peers_reaching("stock", 0, now, here).size() == 2U);
+    BOOST_TEST(paths.peers_reaching("stock", 0, now, here).front().name !=
+               paths.peers_reaching("stock", 1, now, here).front().name);
+    BOOST_TEST(paths.peers_reaching("badges", 0, now, here).empty());
 }
 
 // A primary crashes. The proxies heard it last within the same 200 ms; were
@@ -118,8 +119,8 @@
 BOOST_AUTO_TEST_CASE(a_primary_that_was_heard_by_all_until_now_has_no_way_round) {
     const auto now = boot_clock::now();
     session::primary_paths paths;
-    paths.note("stock", {"a", "here", {}}, now - 600ms);
-    BOOST_TEST(paths.through("stock", 0, now, now - 800ms).empty());
+    paths.record_contact("stock", {"a", "here", {}}, now - 600ms);
+    BOOST_TEST(paths.peers_reaching("stock", 0, now, now - 800ms).empty());
 }
 
 // A session whose proxy can't reach the others either: its caller is told at
