--- a/src/cornellever/session/active_session.hpp
+++ b/src/cornellever/session/active_session.hpp
@@ -12,34 +12,37 @@
 
 namespace cornellever::session {
 
-/// Where an open session stands, for a planned stop.
+/// Whether a session can be closed without interrupting work. Used during a
+/// planned stop.
 struct session_status {
-    /// The caller waits for nothing and has no transaction open: closing the
-    /// connection now cuts nothing.
+    /// No request is in progress and no transaction is open, so that closing the
+    /// connection interrupts nothing.
     bool is_idle{false};
-    /// The caller is waited for, resting or inside a transaction.
+    /// The proxy waits for the caller's next request, outside or inside a
+    /// transaction.
     bool awaiting_request{false};
-    /// Closes it unless a request has arrived meanwhile.
+    /// Closes the connection unless unread input has arrived.
     std::function<void()> close_if_no_input;
 };
 
-/// Who runs a session's statements: this proxy, one that owns the scarce
-/// connections, or one that reaches the primary while this one does not.
+/// Where a session's statements are executed: at this proxy, at a proxy that
+/// owns the service's connections, or at a proxy that reaches the primary while
+/// this one does not.
 enum class execution_site { local, connection_owner, detour };
 
-/// A session's part that another proxy runs.
+/// State of a session whose statements another proxy executes.
 template <typename Relay>
 struct session_at_peer {
-    /// The session there; none before the first statement that runs, or after
-    /// the other proxy went away.
+    /// The session at the peer. Null before the first statement that has to be
+    /// executed, and after the connection to the peer was lost.
     std::unique_ptr<Relay> session{};
     std::string peer_name{};
     boot_clock::time_point opened_at{};
-    /// Where the caller's session stands.
+    /// Transaction state as reported to the caller.
     sql::transaction_state state{sql::transaction_state::idle};
-    /// A BEGIN that the caller was answered and the peer has not been sent.
+    /// A BEGIN that was acknowledged to the caller and not yet sent to the peer.
     std::optional<sql::request> deferred_begin{};
-    /// The transaction under way has written.
+    /// Whether the current transaction has written.
     bool wrote{false};
 
     [[nodiscard]] bool open() const { return session != nullptr && session->open(); }
@@ -52,14 +55,14 @@
     }
 };
 
-/// One session being served. What its caller has set and prepared is kept here
-/// whoever runs its statements, so that the next operation may run elsewhere.
+/// A session that is being served. The caller's values and prepared statements
+/// are kept at this proxy, so that the next operation can be executed anywhere.
 template <routing::link_connector Connector>
 struct active_session {
     session_state state;
     std::optional<typename statement_engine<Connector>::transaction> open_transaction{};
     session_status status{};
-    /// Of another proxy's caller.
+    /// Opened by another proxy on behalf of its caller.
     bool relayed{false};
     execution_site site{execution_site::local};
     session_at_peer<typename Connector::relay> at_peer{};
--- a/src/cornellever/session/caller.hpp
+++ b/src/cornellever/session/caller.hpp
@@ -15,35 +15,37 @@
 
 namespace cornellever::session {
 
-/// A caller opens its session.
+/// A request to open a session.
 struct session_opening {
     std::string database;
-    /// Another proxy relays it and must not be relayed to in turn.
+    /// Sent by another proxy on behalf of its caller. Such a session is not
+    /// relayed a second time.
     bool relayed{false};
-    /// Of a relayed session: the position of its last commit at another proxy.
+    /// For relayed sessions: the position of the session's last commit.
     std::optional<sql::log_position> last_commit{};
-    /// Stands for the caller's key.
+    /// Digest of the caller's API key.
     accounts::key_digest key{};
-    /// Of a relayed session: the configuration by which the other proxy took
-    /// the key for good.
+    /// For relayed sessions: the configuration version under which the relaying
+    /// proxy accepted the key.
     std::uint64_t config_version{0};
 };
 
-/// Input that is none of the protocol's.
+/// Input that violates the protocol; `why` is sent back to the caller.
 struct malformed_input {
     std::string why;
 };
 
-/// The caller ended its session or its connection is gone.
+/// The caller ended its session or its connection was lost.
 struct caller_disconnected {};
 
-/// The caller sent nothing until the time given.
+/// The caller sent nothing before the deadline passed to `next`.
 struct caller_timed_out {};
 
 using caller_event =
     std::variant<session_opening, sql::request, malformed_input, caller_disconnected, caller_timed_out>;
 
-/// The connection of one caller.
+/// The connection of one caller: `next` waits for input, `welcome` accepts and
+/// `refuse` rejects the session, `send` writes a reply.
 template <typename T>
 concept caller_channel = requires(T caller, boot_clock::time_point until, const sql::reply& answer,
                                   const sql::statement_error& error) {
--- a/src/cornellever/session/connection_session_state.hpp
+++ b/src/cornellever/session/connection_session_state.hpp
@@ -11,29 +11,30 @@
 
 namespace cornellever::session {
 
-/// What a backend connection holds from the sessions it served, so that the
-/// next one finds its own values and prepared statements there and no others.
+/// Values and prepared statements that earlier sessions left on a backend
+/// connection. They are compared with the state of the session that uses it
+/// next, which must see its own and no others.
 struct connection_session_state {
     std::map<std::string, std::string, std::less<>> values;
-    /// Names of prepared statements on the connection. A name is made from
-    /// what it runs (`prepared_name`), so that sessions share it.
+    /// Names of the prepared statements on the connection. A name is derived
+    /// from the statement (see `prepared_name`), so that sessions share them.
     std::set<std::string, std::less<>> prepared;
 };
 
-/// The name under which a prepared statement is known on backend
-/// connections. Callers' own names collide; this one stands for the shape.
+/// The name of a prepared statement on backend connections. It is derived from
+/// the statement's shape, since names given by different callers may collide.
 [[nodiscard]] std::string prepared_name(const prepared_statement& what);
 
-/// The statements that make a connection hold exactly the session's values
-/// and, when `needed_statement` is given, that prepared statement; `connection` is brought
-/// up to what they leave. A value that the session lacks needs a reset, which
-/// takes the connection's prepared statements with it.
+/// Returns the statements that bring a connection to exactly the session's
+/// values and, unless `needed_statement` is null, to that prepared statement.
+/// Updates `connection` to the resulting state. A value that the session does
+/// not have requires a reset, which also drops all prepared statements.
 [[nodiscard]] std::vector<sql::statement> plan_replay(const session_state& session,
                                                       connection_session_state& connection,
                                                       const prepared_statement* needed_statement);
 
-/// How many statements `plan_replay` would send, without changing anything:
-/// what choosing this connection costs.
+/// The number of reset and SET statements that `plan_replay` would return; the
+/// cost of choosing this connection.
 [[nodiscard]] std::size_t replay_cost(const session_state& session, const connection_session_state& connection);
 
 } // namespace cornellever::session
--- a/src/cornellever/session/operation_limits.hpp
+++ b/src/cornellever/session/operation_limits.hpp
@@ -12,12 +12,13 @@
 
 namespace cornellever::session {
 
-/// How the traffic side has operations counted; both empty where no limits are
-/// kept.
+/// Hooks that connect sessions to the rate limiter. Both are empty when rate
+/// limiting is off.
 struct operation_limits {
-    /// Has one operation of an account granted.
+    /// Requests permission for one operation of an account.
     std::function<asio::awaitable<limits::limit_verdict>(std::string account, accounts::rate_limit limit)> admit{};
-    /// Takes the proxies that there are, and whether these are known to be all.
+    /// Receives the current proxies of the cluster. `complete` is whether the
+    /// list is known to contain all of them.
     std::function<void(const std::vector<proxy_node>& proxies, bool complete)> set_proxies{};
 };
 
--- a/src/cornellever/session/session_state.hpp
+++ b/src/cornellever/session/session_state.hpp
@@ -11,23 +11,24 @@
 
 namespace cornellever::session {
 
-/// A statement that a caller prepared under a name of its own.
+/// A statement that a caller prepared. The name is the caller's own and is the
+/// key in `session_state::prepared`.
 struct prepared_statement {
     sql::access touches{sql::access::read};
     std::string shape;
 };
 
-/// What a caller's session holds beyond a single statement, whichever backend
-/// connection runs the next one.
+/// State of a caller's session that outlives a statement. The proxy replays it
+/// on whichever backend connection runs the next statement.
 struct session_state {
     std::uint64_t id{0};
     std::string database;
-    /// Stands for the caller's key.
+    /// Digest of the caller's API key.
     accounts::key_digest key{};
     std::map<std::string, std::string, std::less<>> values;
     std::map<std::string, prepared_statement, std::less<>> prepared;
-    /// The position of the session's last commit, which its later reads must
-    /// not lack.
+    /// Log position of the session's last commit. Later reads run only on
+    /// servers that have applied it (read-your-writes).
     std::optional<sql::log_position> last_commit;
 };
 
--- a/src/cornellever/session/traffic_counters.hpp
+++ b/src/cornellever/session/traffic_counters.hpp
@@ -8,8 +8,9 @@
 
 namespace cornellever::session {
 
-/// What the traffic side counts, for the metrics page and the state dump.
+/// Counters and latencies of served sessions, for metrics and state dumps.
 struct traffic_counters {
+    /// Number of values of `sql::refusal`.
     static constexpr std::size_t refusal_kinds = 13;
 
     std::uint64_t sessions_opened{0};
@@ -19,9 +20,11 @@
     std::uint64_t statements_retried{0};
     std::uint64_t transactions_opened{0};
     std::uint64_t transactions_rolled_back{0};
-    /// Operations beyond their accounts' limits, and those of which nobody knew.
+    /// Operations refused because the account's rate limit was used up, and
+    /// those refused because no coordinator of the limit answered.
     std::uint64_t over_limit_refusals{0};
     std::uint64_t unknown_limit_refusals{0};
+    /// Indexed by `sql::refusal`.
     std::array<std::uint64_t, refusal_kinds> refused{};
     metrics::latency statement_latency;
     metrics::latency connection_wait;
