--- a/src/cornellever/session/connection_ownership.cpp
+++ b/src/cornellever/session/connection_ownership.cpp
@@ -13,17 +13,18 @@
 
 namespace {
 
-/// Connections of an owner to each server: a statement can run while a
-/// transaction rests on the other.
+/// Connections of an owner to each server. With two, a statement can run on one
+/// while the other is held by a transaction that is idle between statements.
 constexpr std::size_t connections_per_owner = 2;
 
-/// Owners of one service's connections. The loss of one moves an eighth of the
-/// sessions; more owners only send more statements at a time to servers that
-/// run two, and more heartbeats, since each asks all others.
+/// Maximum number of owners of one service's connections. The loss of one moves
+/// an eighth of the sessions. More owners would only send more concurrent
+/// statements to servers that run two at a time, and more heartbeats, since each
+/// owner polls all others.
 constexpr std::size_t max_owners = 8;
 
-/// With fewer proxies than this a relay's extra hop costs more than a second
-/// connection each brings.
+/// With fewer proxies than this, the extra hop of a relay costs more than a
+/// second connection for each proxy gains.
 constexpr std::size_t min_sharing_proxies = 12;
 
 } // namespace
@@ -52,7 +53,7 @@
         std::ranges::sort(nodes, {}, &ranked_node::first);
     }
     connection_ownership out;
-    // One of each data centre in turn: a session finds an owner nearby.
+    // Round-robin over the data centres, so that sessions find a nearby owner.
     for (std::size_t rank = 0; out.owners.size() < owner_count; ++rank) {
         for (const auto& [data_center, nodes] : by_data_center) {
             if (rank < nodes.size() && out.owners.size() < owner_count) {
--- a/src/cornellever/session/connection_ownership.hpp
+++ b/src/cornellever/session/connection_ownership.hpp
@@ -10,32 +10,34 @@
 
 namespace cornellever::session {
 
-/// A proxy as others reach it.
+/// A proxy of the cluster.
 struct proxy_node {
     std::string name;
     std::string data_center;
-    /// Where it takes the sessions that others relay.
+    /// Endpoint for sessions relayed by other proxies.
     tcp::endpoint sessions;
 
     friend bool operator==(const proxy_node&, const proxy_node&) = default;
 };
 
-/// Which proxies hold connections to a service's servers, and how many each.
+/// Which proxies hold connections to a service's servers, and how many each of
+/// them holds to every server.
 struct connection_ownership {
-    /// Empty when every proxy does.
+    /// Empty when every proxy holds connections.
     std::vector<proxy_node> owners;
     std::size_t connections_each{1};
-    /// While requests of accounts wait that have no connection.
+    /// Upper bound while requests wait whose account has no connection.
     std::size_t connections_each_under_load{1};
 
     [[nodiscard]] bool owns(std::string_view proxy) const;
 };
 
-/// Shares out the `limit` connections that a server takes. Where they suffice
-/// for two each, or the proxies are few, every proxy holds its own; otherwise
-/// some own them and the others relay their callers' sessions there. All
-/// proxies that know the same others come to the same owners, and one that
-/// joins or leaves moves few of them.
+/// Allocates the `limit` connections that each server of a service accepts.
+/// Every proxy holds its own if there are two for each, or if there are few
+/// proxies; otherwise some proxies own all connections and the others relay
+/// their callers' sessions to them. Owners are chosen by rendezvous hashing:
+/// proxies with the same membership list choose the same owners, and a change
+/// of membership moves few of them.
 [[nodiscard]] connection_ownership allocate_connections(std::string_view service, std::size_t limit,
                                                         std::span<const proxy_node> proxies);
 
--- a/src/cornellever/session/relay.hpp
+++ b/src/cornellever/session/relay.hpp
@@ -18,29 +18,32 @@
 
 namespace cornellever::session {
 
-/// A session at another proxy, opened for a caller of this one.
+/// A session at another proxy that this proxy opened on behalf of its caller.
 template <typename T>
 concept relayed_session = requires(T peer, const sql::request& request, boot_clock::time_point until) {
-    /// The peer's answer. `not_sent` also where the peer took no session, or
-    /// refused a request that was passed on before.
+    /// Sends a request and returns the peer's reply. The error is `not_sent` also
+    /// if the peer refused the session or a request that was pipelined before.
     { peer.run_request(request, until) } -> std::same_as<asio::awaitable<routing::link_reply>>;
-    /// Passes a request on whose answer is known; the next `run_request` looks whether
-    /// it came so. False when nothing was sent.
+    /// Sends a request whose reply the caller already has, without waiting. The
+    /// next `run_request` checks that the peer accepted it. False if nothing was
+    /// sent.
     { peer.pipeline(request) } -> std::same_as<bool>;
     { peer.open() } -> std::same_as<bool>;
     {peer.close()};
 };
 
-/// The id of the proxy's own statements to another proxy, which takes callers'
-/// statements only and needs one.
+/// Request id of replayed statements. Peers accept only the callers' protocol,
+/// in which every statement has an id.
 inline constexpr std::string_view replay_request_id = "replay";
 
-/// What brings a new session to the values and prepared statements of this one.
+/// The statements that give a new session the values and prepared statements of
+/// `from`.
 [[nodiscard]] std::vector<sql::statement> replay_statements(const session_state& from);
 
-/// What to answer when the owner's connection ended before its answer. The
-/// transaction that was open there is rolled back; a commit or a write outside
-/// a transaction that was sent may have changed something.
+/// The reply to a request whose peer disconnected before it replied. The peer
+/// rolls back a transaction that was open there. The outcome is unknown for a
+/// commit, or a write outside a transaction, if `may_have_changed`: it was sent
+/// and may have taken effect. `state` is the transaction state before it.
 [[nodiscard]] inline sql::reply reply_after_owner_loss(const sql::request& request, sql::transaction_state state,
                                                        bool may_have_changed) {
     const bool commit = request.what.kind == sql::statement_kind::commit;
@@ -59,8 +62,8 @@
                    sql::transaction_state::failed);
 }
 
-/// The owners in the order in which a session tries them: those of the same
-/// data centre first, sessions spread over them by number.
+/// The owners in the order in which a session tries them: those in the same data
+/// centre first, each group rotated by `session` to spread the load.
 [[nodiscard]] std::vector<proxy_node> relay_order(const connection_ownership& ownership, std::string_view data_center,
                                                   std::uint64_t session);
 
