--- a/src/cornellever/session/active_session.hpp
+++ b/src/cornellever/session/active_session.hpp
@@ -21,7 +21,7 @@
     /// The proxy waits for the caller's next request, outside or inside a
     /// transaction.
     bool awaiting_request{false};
-    /// Closes the connection unless unread input has arrived.
+    /// Closes it unless a request has arrived meanwhile.
     std::function<void()> close_if_no_input;
 };
 
@@ -42,7 +42,7 @@
     sql::transaction_state state{sql::transaction_state::idle};
     /// A BEGIN that was acknowledged to the caller and not yet sent to the peer.
     std::optional<sql::request> deferred_begin{};
-    /// Whether the current transaction has written.
+    /// The transaction under way has written.
     bool wrote{false};
 
     [[nodiscard]] bool open() const { return session != nullptr && session->open(); }
--- a/src/cornellever/session/describe.hpp
+++ b/src/cornellever/session/describe.hpp
@@ -7,7 +7,7 @@
 
 namespace cornellever::session {
 
-/// The traffic side's state, for a dump on request.
+/// State of the data plane as JSON, for state dumps.
 template <routing::link_connector Connector>
 [[nodiscard]] Json::Value describe(traffic<Connector>& host) {
     const auto now = boot_clock::now();
@@ -60,7 +60,7 @@
     return out;
 }
 
-/// The traffic side's counters and latencies.
+/// Adds the data plane's counters, gauges and latencies to `into`.
 template <routing::link_connector Connector>
 void expose(traffic<Connector>& host, metrics::exposition& into) {
     const auto now = boot_clock::now();
--- a/src/cornellever/session/serve_settings.cpp
+++ b/src/cornellever/session/serve_settings.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Takes a value; returns what is wrong with it.
+/// Parses a value into the settings; returns the problem if it is invalid.
 using setting_parser = std::function<std::optional<std::string>(const std::string&, serve_settings&)>;
 
 setting_parser text(std::string serve_settings::*member) {
@@ -48,7 +48,7 @@
     return std::nullopt;
 }
 
-/// Left empty where there is no bound.
+/// An empty value means no bound.
 std::optional<std::string> read_revocation(const std::string& value, serve_settings& out) {
     constexpr long min_ms = 1000;
     constexpr long max_ms = 3'600'000;
@@ -75,7 +75,8 @@
     return std::nullopt;
 }
 
-/// Reads a number from `minimum` to `maximum` into a field; `requirement` names its unit.
+/// Parses a number from `minimum` to `maximum`; `requirement` describes the
+/// range and unit in the finding.
 std::optional<std::string> read_number(const std::string& value, double minimum, double maximum,
                                        std::string_view requirement, double& out) {
     const auto* const end = value.data() + value.size();
@@ -188,7 +189,7 @@
             out += text.substr(open);
             break;
         }
-        // Marks of a section stand for nothing: what is between them is kept.
+        // Section tags are dropped; the text between them is kept.
         const auto tag = text.substr(open + 2, close - open - 2);
         if (tag.starts_with('#') || tag.starts_with('/') || tag.starts_with('^')) {
             text = text.substr(close + 2);
--- a/src/cornellever/session/serve_settings.hpp
+++ b/src/cornellever/session/serve_settings.hpp
@@ -14,48 +14,51 @@
 
 /// Settings of the `serve` role, section `[serve]` of an INI file.
 struct serve_settings {
-    /// Unique among the proxies, kept over restarts on the same VM.
+    /// Unique among the proxies; kept across restarts on the same VM.
     std::string name;
     std::string data_center;
-    /// Where callers connect.
+    /// Listens for callers.
     tcp::endpoint callers;
-    /// Where the load balancer asks whether new connections are wanted.
+    /// Answers the load balancer's readiness probes.
     tcp::endpoint readiness;
-    /// Where other proxies ask for the configuration, and where they send
-    /// their heartbeats.
+    /// Serves the configuration to other proxies.
     tcp::endpoint peers;
+    /// Receives the heartbeats of other proxies.
     tcp::endpoint heartbeats;
-    /// Heartbeat addresses of proxies that may be up already.
+    /// Heartbeat endpoints of proxies that may be running already.
     std::vector<tcp::endpoint> seeds;
-    /// The metadata store, and where promotions are ordered.
+    /// The metadata store.
     tcp::endpoint store;
+    /// The service that carries out promotions.
     tcp::endpoint orders;
-    /// The whole fleet starts for the first time: this proxy's row can't be in
-    /// the store yet, and is written without a look.
+    /// All proxies are started for the first time. This proxy's row can't be in
+    /// the store yet and is written without reading it first.
     bool first_start{false};
     /// From SIGTERM until the process is killed.
     std::chrono::seconds grace{6};
-    /// By when a key that was taken away must be dead everywhere, also at proxies
-    /// that are cut off; nothing where those in touch are enough.
+    /// The time after which a revoked key must be refused by all proxies, also
+    /// by partitioned ones. Without a value only proxies that are connected to
+    /// the rest are bound to refuse it.
     std::optional<std::chrono::milliseconds> revocation{};
-    /// Where other proxies ask for operations of the accounts whose limits this
-    /// one coordinates, by datagrams; port 0: no limits are kept.
+    /// Receives datagrams of other proxies that request operations of the
+    /// accounts whose rate limits this one coordinates. Port 0 turns rate
+    /// limiting off.
     asio::ip::udp::endpoint limits{};
-    /// What counts as over a limit.
+    /// The bound on operations beyond a rate limit.
     limits::limit_bound limit_bound{};
     /// debug, info, warning or error.
     std::string log_level{"info"};
-    /// Where counters and latencies are served as text; port 0: nowhere.
+    /// Serves metrics as text. Port 0 turns them off.
     tcp::endpoint metrics;
 };
 
-/// Reads settings from INI text named `file`. Every problem is a finding with
-/// its line; `out` is complete only when there are none.
+/// Reads settings from the INI text of `file`. Returns a finding, with its line,
+/// for every problem; `out` is complete only if there are none.
 [[nodiscard]] std::vector<ini::finding> read_serve_settings(std::string_view text, std::string_view file,
                                                             serve_settings& out);
 
-/// The text of a settings template with a value of the right kind in place of
-/// each `{{placeholder}}`, so that it can be checked before a platform fills it.
+/// Replaces each `{{placeholder}}` of a settings template by a valid value of
+/// its type, so that the template can be checked before it is deployed.
 [[nodiscard]] std::string fill_placeholders(std::string_view text);
 
 } // namespace cornellever::session
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -17,30 +17,32 @@
 
 namespace cornellever::session {
 
-/// One statement on its way: what it is, and for whom.
+/// One execution of a statement, with its route and session.
 struct statement_run {
     const routing::database_route& route;
-    /// Whose the request is and whether it may still run.
+    /// Tells the request's account and whether the request is permitted.
     const accounts::gate& gate;
     session_state& session;
     const sql::request& request;
-    /// Set for `execute`: what the name stands for.
+    /// For `execute`: the prepared statement. Null otherwise.
     const prepared_statement* prepared{nullptr};
+    /// When the request was received.
     boot_clock::time_point arrival;
 
     [[nodiscard]] bool writes() const noexcept {
         return request.what.kind == sql::statement_kind::write ||
                (prepared != nullptr && prepared->touches == sql::access::write);
     }
+    /// The statement's deadline.
     [[nodiscard]] boot_clock::time_point until() const { return arrival + route.statement_timeout; }
     [[nodiscard]] accounts::gate::decision permitted() const {
         return gate.ask(route.keyless, session.key, boot_clock::now());
     }
 };
 
-/// Runs statements on backend servers: alone, or as part of a transaction that
-/// stays on the connection of its first statement. Decides what is run again
-/// elsewhere and what must not be.
+/// Executes statements on backend servers, either in autocommit mode or in a
+/// transaction that is pinned to one connection. Retries statements on another
+/// server where that is safe: reads, and writes that certainly did not run.
 template <routing::link_connector Connector>
 class statement_engine {
 public:
@@ -49,30 +51,34 @@
     using entry = typename pool::entry;
     using time_point = boot_clock::time_point;
 
-    /// A caller's transaction. It takes a connection with its first statement.
+    /// A caller's transaction. A connection is acquired for its first statement
+    /// and stays pinned until the transaction ends.
     struct transaction {
         routing::database_route route;
         pool* backends{nullptr};
         bool read_only{false};
-        /// What the log of its server had to hold; nothing on the primary.
+        /// The log position that its replica had to have applied; empty if it
+        /// runs on the primary.
         std::optional<sql::log_position> floor{};
         bool wrote{false};
+        /// Rolled back. Statements are refused until the caller ends it.
         bool failed{false};
         lease pinned{};
     };
 
     explicit statement_engine(traffic_counters& counters) : m_counters{counters} {}
 
-    /// Runs one statement outside a transaction.
+    /// Executes one statement outside a transaction.
     asio::awaitable<sql::reply> run_autocommit(pool& backends, const statement_run& run);
 
-    /// Runs a statement or the commit of a transaction.
+    /// Executes a statement or the commit of a transaction.
     asio::awaitable<sql::reply> run_in_transaction(transaction& tx, const statement_run& run);
 
-    /// Undoes the transaction; its connection goes on to others.
+    /// Rolls the transaction back and returns its connection to the pool.
     void roll_back_transaction(transaction& tx);
 
 private:
+    /// Whether the request has its reply or is executed again.
     enum class outcome { answered, retry };
 
     [[nodiscard]] static routing::time_limits time_limits_of(const statement_run& run);
@@ -113,14 +119,15 @@
                                                   const sql::reply& reply);
     void log_decision(event id, const statement_run& run, std::string_view server, std::string_view reason) const;
 
-    /// A read without an answer for so long is run again elsewhere: twice what
-    /// the slowest ordinary one takes (110 ms of work behind a short queue).
+    /// A read without a reply for this long is retried on another server. Twice
+    /// the time of the slowest normal read (110 ms of work behind a short queue).
     static constexpr std::chrono::milliseconds read_attempt_timeout{400};
 
-    /// A new connection (30 ms) and a round trip, or a peer's answer.
+    /// Enough for opening a connection (30 ms) and a round trip to the primary,
+    /// or for a peer's reply.
     static constexpr std::chrono::milliseconds max_sample_wait{120};
     static constexpr std::chrono::milliseconds sample_poll_interval{10};
-    /// About what it takes to find another primary where one was promoted.
+    /// About the time it takes to find the new primary after a promotion.
     static constexpr std::chrono::milliseconds not_primary_retry_after{100};
 
     traffic_counters& m_counters;
--- a/src/cornellever/session/statement_engine.ipp
+++ b/src/cornellever/session/statement_engine.ipp
@@ -11,7 +11,7 @@
                       " aim_ms=" + std::to_string(run.route.target_latency.count()));
 }
 
-/// What a log lacked, beside how far it has come.
+/// The position that a replica had to have applied, and the one it had reached.
 template <routing::link_connector Connector>
 std::string statement_engine<Connector>::describe_lag(const std::optional<sql::log_position>& floor,
                                                       const sql::reply& reply) {
@@ -39,8 +39,8 @@
     out.primary = needs_primary || run.route.reads == routing::consistency::primary;
     if (!out.primary) {
         out.floor = backends.floor().floor(run.arrival, run.route.max_staleness, run.session.last_commit);
-        // Without a sample that is recent enough nobody can say which replica
-        // is fresh; the primary can still prove that it is.
+        // Without a recent freshness sample no replica is known to be within the
+        // staleness bound; the primary always is once it confirms leadership.
         out.primary = !out.floor.has_value();
     }
     return out;
@@ -52,9 +52,10 @@
             run.route.target_latency};
 }
 
-/// A proxy that has just started knows no position of the primary. One costs
-/// no slot and a round trip; if all reads went to the primary meanwhile, its
-/// slots would be taken for seconds, by many proxies at once after an outage.
+/// Waits for a freshness sample, which a proxy that has just started does not
+/// have. A sample costs a round trip and no execution slot of the primary. If all
+/// reads went to the primary instead, its slots would be taken for seconds, by
+/// many proxies at once after an outage.
 template <routing::link_connector Connector>
 asio::awaitable<void> statement_engine<Connector>::await_sample(pool& backends, const statement_run& run,
                                                                 bool needs_primary) {
@@ -72,8 +73,8 @@
 std::optional<sql::reply> statement_engine<Connector>::admit(pool& backends, const statement_run& run,
                                                              routing::connection_want& pool_request) {
     if (pool_request.primary && backends.path_cut()) {
-        // Nothing here is going to change soon, and the caller's next try may
-        // come to a proxy that reaches it.
+        // The cut is not expected to end soon, and the caller's retry may arrive
+        // at a proxy that reaches the primary.
         return refused_for_now("the path to the primary is cut", std::chrono::milliseconds{0});
     }
     const auto limits = time_limits_of(run);
@@ -105,7 +106,7 @@
                   " aim_ms=" + std::to_string(run.route.target_latency.count()));
 }
 
-/// A connection, or the refusal to answer with.
+/// Returns a connection, or an empty lease and the reply in `refusal`.
 template <routing::link_connector Connector>
 asio::awaitable<typename statement_engine<Connector>::lease>
 statement_engine<Connector>::acquire_connection(pool& backends, const statement_run& run,
@@ -118,8 +119,8 @@
             co_return lease{};
         }
         held = co_await backends.acquire(pool_request);
-        // It may have begun to wait before the primary was found to be lost;
-        // then there is more time than under mere load.
+        // The primary may have been lost during the wait. The request may then
+        // wait longer than under load, until another primary is found.
         if (held || !pool_request.primary || backends.primary_answers()) {
             break;
         }
--- a/src/cornellever/session/statement_outcomes.ipp
+++ b/src/cornellever/session/statement_outcomes.ipp
@@ -1,11 +1,12 @@
 #pragma once
 
-// What becomes of a statement outside a transaction after an answer, or none.
+// Handles the replies to statements outside transactions: decides whether a
+// statement is answered or retried.
 
 namespace cornellever::session {
 
-/// Whether a server refuses a request as not being the primary a second time:
-/// sent once more, it would go round until its caller's time is over.
+/// Whether `server` refused the request as not being the primary twice in a row.
+/// Further retries would repeat that until the statement times out.
 template <routing::link_connector Connector>
 bool statement_engine<Connector>::refused_twice(routing::connection_want& pool_request, const std::string& server) {
     return std::exchange(pool_request.refused_by, server) == server;
@@ -66,7 +67,7 @@
             return outcome::answered;
         }
     }
-    // The primary holds every commit and proves it: what no replica can serve goes there.
+    // When no replica can serve the read, the primary can: it has every commit.
     if (!pool_request.primary && pool_request.avoid.size() + 1 >= backends.entries().size()) {
         pool_request.primary = true;
         pool_request.avoid.clear();
@@ -90,7 +91,7 @@
             log_decision(event::statement_retried, run, id, "not_sent");
             return outcome::retry;
         }
-        // It may have run: running it again could make it take effect twice.
+        // The write may have run; a retry could make it take effect twice.
         log_decision(event::outcome_unknown, run, id, routing::to_string(reply.error()));
         out = refused(sql::refusal::outcome_unknown, "no answer from " + id, sql::transaction_state::idle);
         return outcome::answered;
--- a/src/cornellever/session/statement_permission.ipp
+++ b/src/cornellever/session/statement_permission.ipp
@@ -1,10 +1,10 @@
 #pragma once
 
-// Whether a statement may still run when its turn has come.
+// Permission checks of statements.
 
 namespace cornellever::session {
 
-/// The refusal of a request that may not run; nothing where it may.
+/// Returns the reply to a request that is not permitted; empty if it is.
 template <routing::link_connector Connector>
 std::optional<sql::reply>
 statement_engine<Connector>::permission_refusal(const statement_run& run,
@@ -19,12 +19,13 @@
     if (permission.verdict == accounts::permission::unknown_key) {
         return refused(sql::refusal::unknown_key, "the key is not known", sql::transaction_state::idle);
     }
-    // Another proxy may have later word of the configuration.
+    // Another proxy's configuration may be confirmed current: retry at once.
     return refused_for_now("the configuration is not known to be current", std::chrono::milliseconds{0});
 }
 
-/// The last look before a statement is sent: a key may have been taken away, or
-/// given to another account, while the request waited for its connection.
+/// The permission check right before a statement is sent. While the request
+/// waited for its connection, the key may have been revoked or assigned to
+/// another account.
 template <routing::link_connector Connector>
 std::optional<sql::reply> statement_engine<Connector>::permission_refusal_at_send(const statement_run& run,
                                                                                   const lease& held) const {
@@ -35,7 +36,8 @@
     return permission_refusal(run, permission);
 }
 
-/// Ends a transaction whose request may not run any more; nothing where it may.
+/// Rolls back a transaction whose request is no longer permitted and returns the
+/// reply; empty if it is permitted.
 template <routing::link_connector Connector>
 std::optional<sql::reply> statement_engine<Connector>::abort_unpermitted(transaction& tx, const statement_run& run) {
     auto forbidden = permission_refusal_at_send(run, tx.pinned);
--- a/src/cornellever/session/statement_transactions.ipp
+++ b/src/cornellever/session/statement_transactions.ipp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Statements inside transactions.
+// Statements in transactions.
 
 namespace cornellever::session {
 
@@ -23,7 +23,8 @@
     co_return answer->ok();
 }
 
-/// Takes a connection for a transaction and opens it there.
+/// Acquires a connection for a transaction, opens the transaction there and pins
+/// it. False, with the reply in `refusal`, if that fails.
 template <routing::link_connector Connector>
 asio::awaitable<bool> statement_engine<Connector>::pin(transaction& tx, const statement_run& run, sql::reply& refusal) {
     auto& backends = *tx.backends;
