--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -29,15 +29,15 @@
 
 namespace cornellever::session {
 
-/// The furthest position that a server named while it led.
+/// The furthest log position that a server reported while it was the primary.
 struct reported_position {
     std::string server;
     sql::log_position furthest;
 };
 
-/// The traffic side of a proxy that serves statement sessions: the
-/// configuration in force, the pools, and the open sessions.
-/// Used from the traffic thread only.
+/// The data plane of a proxy: the configuration in force, a connection pool for
+/// each service, and the open sessions. Sessions are executed at this proxy or
+/// relayed to another one. Used from the traffic thread only.
 template <routing::link_connector Connector>
 class traffic {
 public:
@@ -54,21 +54,22 @@
         , m_engine{m_counters}
         , m_configuration_due{m_executor, max_configuration_wait} {}
 
-    /// Takes a newer configuration; an older or equal one is ignored.
+    /// Applies a newer configuration; an older or equal one is ignored.
     void update(routing::configuration config);
 
-    /// Takes the registered backend servers.
+    /// Applies the registered backend servers; an older registry is ignored.
     void update(routing::registry servers);
 
-    /// The configuration at hand, or an older one, was the newest at `at`.
+    /// The configuration in force, or an older one, was confirmed current at
+    /// `at`. Extends the configuration lease.
     void confirm_configuration(boot_clock::time_point at) { m_gate.prove(at); }
 
-    /// The proxies that share each server's connections, this one among them;
-    /// none while they are not known yet. `complete` is whether these are known
-    /// to be all.
+    /// Sets the proxies that share each server's connections, including this
+    /// one; empty while they are not known yet. `complete` is whether the list
+    /// is known to contain all of them.
     void set_proxies(std::vector<proxy_node> proxies, bool complete = true);
 
-    /// Has operations of accounts counted from now on.
+    /// Turns rate limiting of accounts on.
     void set_operation_limits(operation_limits how) { m_limits = std::move(how); }
 
     /// Another proxy heard the primary of a service at `last_contact`.
@@ -76,10 +77,11 @@
         m_paths.record_contact(service, peer, last_contact);
     }
 
-    /// Another proxy knows how far a primary's log had come.
+    /// Records the log position of a primary that another proxy reported.
     void note_told(const std::string& service, reported_position what);
 
-    /// Housekeeping of the pools and of sessions whose path was cut.
+    /// Periodic maintenance of the pools, and of sessions whose path to the
+    /// primary is cut.
     void tick() {
         update_paths();
         for (auto& [name, backends] : m_pools) {
@@ -92,19 +94,21 @@
     template <caller_channel Caller>
     asio::awaitable<void> serve(Caller caller);
 
-    /// Whether callers can be served: a configuration is known.
+    /// Whether a configuration is known, which serving callers requires.
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
 
-    /// From now on sessions end behind their next answer outside a transaction.
+    /// From now on, sessions are closed after their next reply outside a
+    /// transaction.
     void close_after_answer() { m_close_after_answer = true; }
 
-    /// Ends the sessions that rest; later ones end as they come to rest.
+    /// Closes all idle sessions; from now on, others are closed once idle.
     void close_idle_sessions();
 
-    /// Ends the sessions whose callers rest inside a transaction.
+    /// Closes the sessions that are idle in a transaction.
     void close_idle_in_transaction();
 
-    /// From now on open transactions are ended too.
+    /// From now on, open transactions are rolled back at their next statement,
+    /// unless it is the commit.
     void abort_transactions() { m_abort_transactions = true; }
 
     [[nodiscard]] std::size_t sessions() const noexcept { return m_sessions.size(); }
@@ -114,7 +118,7 @@
     [[nodiscard]] const traffic_counters& counters() const noexcept { return m_counters; }
     [[nodiscard]] std::map<std::string, std::unique_ptr<pool>, std::less<>>& pools() noexcept { return m_pools; }
 
-    /// The pool of a service, made when it is first asked for.
+    /// The pool of a service, created on first use.
     [[nodiscard]] pool& pool_for(const std::string& service);
 
 private:
@@ -164,30 +168,30 @@
     [[nodiscard]] static sql::transaction_state state_of(const active_session& active);
     [[nodiscard]] boot_clock::time_point request_deadline(const active_session& active) const;
 
-    /// A session without a transaction may rest as long as it likes.
+    /// A session without an open transaction may stay idle practically forever.
     static constexpr std::chrono::hours idle_session_limit{24};
-    /// A connection is taken by the VM itself, in a round trip.
+    /// The peer's kernel accepts a connection within a round trip.
     static constexpr std::chrono::milliseconds peer_connect_timeout{100};
-    /// Other proxies that are tried for one operation: its caller waits
-    /// meanwhile, and aims at 120 ms.
+    /// Peers that are tried for one operation. Its caller waits meanwhile, with
+    /// a target latency of 120 ms.
     static constexpr std::size_t max_peer_attempts = 2;
-    /// One that took no session, or ended it, comes last for so long. A process
-    /// that was stopped is back sooner, but the others serve meanwhile; one
-    /// behind a cut path costs a caller `peer_connect_timeout` at each try.
+    /// A peer that refused or lost a session is tried last for this long. A
+    /// process that was stopped restarts sooner, but other peers serve meanwhile.
+    /// A peer behind a cut path costs a caller `peer_connect_timeout` per try.
     static constexpr std::chrono::milliseconds peer_backoff{5000};
-    /// From the start of the process: twice what the slowest of 88 small VMs
-    /// took to load 1,346 databases after all had been started together
-    /// (0.48 s). Callers give up an opening after 2 s.
+    /// Measured from the start of the process. Twice the time that the slowest
+    /// of 88 small VMs took to load 1,346 databases when all were started
+    /// together (0.48 s). Callers give up opening a session after 2 s.
     static constexpr std::chrono::milliseconds max_configuration_wait{1000};
-    /// A caller gives up an opening after 2 s.
+    /// Callers give up opening a session after 2 s.
     static constexpr std::chrono::milliseconds max_membership_wait{1000};
-    /// A configuration comes to all proxies within several heartbeats.
+    /// A configuration reaches all proxies within several heartbeats.
     static constexpr std::chrono::milliseconds max_version_wait{300};
-    /// A primary that others hear and this proxy does not, for so long, is cut
-    /// off from it: it is asked five times a second at least, and a connection
-    /// that the network gave up shows in 0.7 s.
+    /// The path to a primary counts as cut after this time without an answer, if
+    /// peers still reach the primary. The primary is polled at least five times a
+    /// second, and a connection that the network dropped is detected in 0.7 s.
     static constexpr std::chrono::milliseconds primary_silence_limit{600};
-    /// The owner answers by the statement's timeout itself.
+    /// Added to the statement's timeout, which the peer enforces itself.
     static constexpr std::chrono::milliseconds peer_reply_slack{300};
 
     asio::any_io_executor m_executor;
@@ -198,18 +202,19 @@
     routing::registry m_registry;
     std::vector<proxy_node> m_proxies;
     primary_paths m_paths;
-    /// Proxies that took no session or ended it, and when.
+    /// When a proxy last refused or lost a session, by its name.
     std::map<std::string, boot_clock::time_point, std::less<>> m_peer_failures;
-    /// By service, worked out when first asked for.
+    /// By service; computed on first use.
     std::map<std::string, connection_ownership, std::less<>> m_ownership;
     traffic_counters m_counters;
     accounts::gate m_gate;
     operation_limits m_limits;
     engine m_engine;
-    /// Ends when a configuration is known, or is not expected any more.
+    /// Expires after `max_configuration_wait`; cancelled when a configuration
+    /// arrives.
     asio::steady_timer m_configuration_due;
     std::map<std::string, std::unique_ptr<pool>, std::less<>> m_pools;
-    /// By service, for pools that are not made yet.
+    /// By service, for pools that are not created yet.
     std::map<std::string, reported_position, std::less<>> m_reported_positions;
     std::set<active_session*> m_sessions;
     std::uint64_t m_last_session_id{0};
--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -107,10 +107,10 @@
     }
 }
 
-/// Holds an opening that came before the first configuration. When all proxies
-/// are started together, callers that are refused come back to others which
-/// don't know it either, and use up their tries within milliseconds. What is
-/// due within the limit is worth waiting for; later ones are refused at once.
+/// Delays a session opening that arrives before the first configuration, at most
+/// until `max_configuration_wait` after the start. When all proxies are started
+/// together, refused callers would retry at proxies without a configuration and
+/// use up their attempts within milliseconds.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_configuration() {
     if (!has_configuration()) {
@@ -148,8 +148,7 @@
     for (;;) {
         active.status.is_idle = active.outside_transaction();
         const bool closing = m_close_idle_sessions || (m_close_after_answer && answered);
-        // A request that has arrived is still answered: the caller could not
-        // know that the session was about to end.
+        // A request that has arrived already is still answered.
         if (closing && active.status.is_idle && caller.close_if_no_input()) {
             break;
         }
@@ -186,7 +185,7 @@
             continue;
         }
         if (std::holds_alternative<caller_timed_out>(input) && active.open_transaction) {
-            // The connection that the transaction holds is wanted by others.
+            // Frees the connection that the idle transaction holds.
             log_event(event::transaction_abandoned, "database=" + active.state.database + " reason=idle");
             m_engine.roll_back_transaction(*active.open_transaction);
             active.open_transaction->failed = true;
@@ -293,7 +292,7 @@
     co_return co_await run(active, request);
 }
 
-/// Runs what a backend server has to run.
+/// Executes a statement that needs a backend server.
 template <routing::link_connector Connector>
 asio::awaitable<sql::reply> traffic<Connector>::run(active_session& active, const sql::request& request) {
     const auto arrival = boot_clock::now();
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -1,11 +1,11 @@
 #pragma once
 
-// Whose sessions and operations are, and what of them may run.
+// Accounts of sessions: keys, permissions and rate limits.
 
 namespace cornellever::session {
 
-/// A proxy that relays a session may have heard of its caller's key before this
-/// one did.
+/// Waits for a configuration of at least `version`. A proxy that relays a session
+/// may have learned of the caller's key earlier than this one.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_version(std::uint64_t version) {
     const auto until = boot_clock::now() + max_version_wait;
@@ -14,7 +14,8 @@
     }
 }
 
-/// Why an opening can't be served; nothing where it can.
+/// Returns the error for a session that can't be opened, with its `reason` for
+/// the log; empty if it can.
 template <routing::link_connector Connector>
 std::optional<sql::statement_error> traffic<Connector>::opening_refusal(const session_opening& opening,
                                                                         std::string& reason) const {
@@ -29,8 +30,7 @@
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::unknown_key, "the key is not known"};
     }
-    // The proxy that asks has others to try, and knows none of them to be any
-    // better than this one.
+    // The relaying proxy can try other peers.
     if (opening.relayed && !permission.granted()) {
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::overloaded, "the configuration is not known to be current"};
@@ -42,7 +42,7 @@
     return std::nullopt;
 }
 
-/// Refuses an opening that can't be served; whether it did.
+/// Refuses a session that can't be opened. Returns whether it was refused.
 template <routing::link_connector Connector>
 bool traffic<Connector>::refuse_opening(const session_opening& opening, auto& caller) {
     std::string reason;
@@ -58,8 +58,8 @@
     return true;
 }
 
-/// A session whose key was taken away runs nothing more, wherever its
-/// statements run; nothing where the key still stands for an account.
+/// Ends the open transaction of a session whose key was revoked, here or at a
+/// peer, and returns the reply; empty if the key still belongs to an account.
 template <routing::link_connector Connector>
 std::optional<sql::reply> traffic<Connector>::refuse_revoked_key(active_session& active, const sql::request& request) {
     const auto route = m_config.routes.find(active.state.database);
@@ -84,8 +84,9 @@
                    sql::transaction_state::idle);
 }
 
-/// Limits count operations: a statement by itself, or a transaction, which is
-/// refused at its start or not at all.
+/// Whether a request starts an operation, the unit of rate limits: a statement
+/// outside a transaction, or a whole transaction, which can be refused only at
+/// its start.
 template <routing::link_connector Connector>
 bool traffic<Connector>::starts_operation(const active_session& active, const sql::request& request) {
     if (active.relayed || !active.outside_transaction()) {
@@ -103,8 +104,9 @@
     }
 }
 
-/// Refuses an operation beyond its account's limit before it waits for anything
-/// or is sent anywhere, so that a flood costs other accounts nothing.
+/// Refuses an operation beyond its account's rate limit. This comes before the
+/// operation waits for a connection or is relayed, so that excess load of one
+/// account does not affect others.
 template <routing::link_connector Connector>
 asio::awaitable<std::optional<sql::reply>> traffic<Connector>::refuse_over_limit(active_session& active,
                                                                                  const sql::request& request) {
@@ -131,9 +133,10 @@
                               verdict.wait);
 }
 
-/// What spreads sessions over the owners. Those of an account go to the same
-/// ones: its connections to the servers lie at few proxies, and one that is open
-/// is more often of the right account.
+/// The key by which sessions are spread over the connection owners. It is the
+/// same for all sessions of an account, so that the account's connections are
+/// concentrated at few owners and an idle one more often belongs to the right
+/// account.
 template <routing::link_connector Connector>
 std::uint64_t traffic<Connector>::spreading_key(const active_session& active) const {
     const auto* who = m_gate.accounts().holder(active.state.key);
--- a/src/cornellever/session/traffic_relay.ipp
+++ b/src/cornellever/session/traffic_relay.ipp
@@ -1,12 +1,12 @@
 #pragma once
 
-// Statements of sessions whose operations other proxies run.
+// Sessions whose operations are executed by other proxies.
 
 namespace cornellever::session {
 
-/// Between two operations a session goes where it is served best by now: to
-/// those that own the connections, or round a cut path. Its caller notices
-/// nothing, since all that it has set and prepared is kept here.
+/// Chooses where the session's next operation is executed: at a connection
+/// owner, at a peer that reaches the primary, or here. Callers don't notice a
+/// change, since their values and prepared statements are kept at this proxy.
 template <routing::link_connector Connector>
 void traffic<Connector>::choose_site(active_session& active) {
     if (active.relayed || !active.outside_transaction()) {
@@ -32,15 +32,16 @@
     active.site = place;
 }
 
-/// Whether the proxy that a session is open at has failed another session
-/// since: each of them would wait for it by itself.
+/// Whether the peer of a session has failed another session since this one was
+/// opened there. Without this check every session would run into its own
+/// timeout.
 template <routing::link_connector Connector>
 bool traffic<Connector>::peer_suspected(const peer_session& at_peer) const {
     const auto found = m_peer_failures.find(at_peer.peer_name);
     return at_peer.session != nullptr && found != m_peer_failures.end() && found->second > at_peer.opened_at;
 }
 
-/// The other proxies that may run a session's next operation, in the order in
+/// The peers that may execute the session's next operation, in the order in
 /// which they are tried.
 template <routing::link_connector Connector>
 std::vector<proxy_node> traffic<Connector>::candidate_peers(const active_session& active) {
@@ -60,8 +61,8 @@
     return out;
 }
 
-/// Opens a session at one of the proxies that may run the next operation, and
-/// brings it to this session's values and prepared statements.
+/// Opens a session at one of the candidate peers, unless one is open already, and
+/// replays values and prepared statements there. False if all peers failed.
 template <routing::link_connector Connector>
 asio::awaitable<bool> traffic<Connector>::open_at_peer(active_session& active) {
     if (active.at_peer.open()) {
@@ -90,7 +91,8 @@
     co_return false;
 }
 
-/// Answers what needs no server; nothing for a statement that has to run.
+/// Answers requests that need no server and pipelines them to the peer; empty for
+/// a statement that the peer has to execute.
 template <routing::link_connector Connector>
 std::optional<sql::reply> traffic<Connector>::answer_locally(active_session& active, const sql::request& request) {
     auto& at_peer = active.at_peer;
@@ -148,7 +150,8 @@
     }
 }
 
-/// A failed transaction runs nothing more; ending it rolls back.
+/// Answers a request in a failed transaction: COMMIT and ROLLBACK end it with a
+/// rollback, everything else is refused.
 template <routing::link_connector Connector>
 sql::reply traffic<Connector>::answer_after_failure(peer_session& at_peer, const sql::request& request) {
     const bool commit = request.what.kind == sql::statement_kind::commit;
@@ -163,8 +166,8 @@
     return acknowledged(at_peer.state);
 }
 
-/// Sends on what the caller was answered already. Where that fails, the session
-/// there is given up: the next statement finds it gone.
+/// Sends the peer a request that was answered already. If that fails, the session
+/// at the peer is closed, which the next statement detects.
 template <routing::link_connector Connector>
 void traffic<Connector>::pipeline(peer_session& at_peer, const sql::request& request) {
     if (at_peer.open() && !at_peer.session->pipeline(request)) {
@@ -181,7 +184,7 @@
     return request.what.kind == sql::statement_kind::write;
 }
 
-/// Has the peer run a statement.
+/// Executes a statement at the peer.
 template <routing::link_connector Connector>
 asio::awaitable<routing::link_reply>
 traffic<Connector>::execute_at_peer(active_session& active, const sql::request& request, boot_clock::time_point until) {
@@ -205,8 +208,8 @@
     co_return out;
 }
 
-/// Whether another proxy may be asked to run a statement whose peer failed to
-/// answer: outside a transaction, and where it did not run or changes nothing.
+/// Whether a statement whose peer failed may be retried at another one: outside
+/// a transaction, if it did not run or changes nothing.
 template <routing::link_connector Connector>
 bool traffic<Connector>::may_retry(const active_session& active, const sql::request& request,
                                    routing::link_failure why) {
@@ -225,7 +228,7 @@
     const auto until = boot_clock::now() + limit + peer_reply_slack;
     auto why = routing::link_failure::not_sent;
     for (std::size_t tries = 0; tries < max_peer_attempts; ++tries) {
-        // A transaction whose statements ran at a peer that is gone is lost.
+        // The statements of this transaction were lost with the peer.
         const bool lost = at_peer.state == sql::transaction_state::open && !at_peer.deferred_begin && !at_peer.open();
         if (lost) {
             break;
@@ -258,8 +261,8 @@
     co_return out;
 }
 
-/// None of the proxies that should run an operation takes it: this one does,
-/// with the connection or two that it may open.
+/// Executes an operation here because no candidate peer is reachable, with the
+/// connection or two that this proxy may open.
 template <routing::link_connector Connector>
 asio::awaitable<sql::reply> traffic<Connector>::execute_locally(active_session& active, const sql::request& request) {
     active.site = execution_site::local;
--- a/src/cornellever/session/traffic_sharing.ipp
+++ b/src/cornellever/session/traffic_sharing.ipp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Sharing scarce connections with other proxies.
+// Connection ownership, and detours round cut paths to primaries.
 
 namespace cornellever::session {
 
@@ -28,7 +28,7 @@
     m_ownership.clear();
     for (auto& [name, backends] : m_pools) {
         const auto& ownership = ownership_of(name);
-        // One that was an owner until now still serves the sessions it has.
+        // A proxy that has ceased to be an owner still serves its open sessions.
         const auto owner_count = ownership.owners.empty() ? m_proxies.size() : ownership.owners.size();
         const bool is_owner = ownership.owns(m_name);
         backends->set_budget(is_owner ? ownership.connections_each : 1, owner_count, is_owner,
@@ -42,9 +42,10 @@
     return route == m_config.routes.end() || ownership_of(route->second.service).owns(m_name);
 }
 
-/// A proxy that has just started does not know yet who owns connections. If it
-/// opened its own meanwhile, after an outage of all proxies each server would
-/// be full before its owners came.
+/// Waits until the proxies of the cluster are known. A proxy that has just
+/// started does not know the connection owners yet. If it opened connections of
+/// its own meanwhile, after an outage of all proxies the servers' connection
+/// limits would be exhausted before the owners connect.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_proxies() {
     const auto until = boot_clock::now() + max_membership_wait;
@@ -53,7 +54,7 @@
     }
 }
 
-/// The proxies that reach the primary of a database while this one does not.
+/// The peers that reach the primary of a database while this proxy does not.
 template <routing::link_connector Connector>
 std::vector<proxy_node> traffic<Connector>::detour_peers(const std::string& database, std::uint64_t session) const {
     const auto route = m_config.routes.find(database);
@@ -64,7 +65,8 @@
     return m_paths.peers_reaching(found->first, session, boot_clock::now(), found->second->sight().heard_at);
 }
 
-/// Tells each pool whether its primary is lost to this proxy alone.
+/// Updates in each pool whether the path to its primary is cut: whether peers
+/// reach the primary while this proxy does not.
 template <routing::link_connector Connector>
 void traffic<Connector>::update_paths() {
     const auto now = boot_clock::now();
@@ -74,8 +76,8 @@
     }
 }
 
-/// Ends relayed sessions at rest whose path to the primary was cut here: the
-/// proxies that relay them have others to try.
+/// Closes idle sessions relayed to this proxy whose primary it does not reach.
+/// The relaying proxies can try other peers.
 template <routing::link_connector Connector>
 void traffic<Connector>::close_relayed_without_primary() {
     for (auto* item : m_sessions) {
