--- a/src/cornellever/session/statement_outcomes.ipp
+++ b/src/cornellever/session/statement_outcomes.ipp
@@ -67,7 +67,8 @@
             return outcome::answered;
         }
     }
-    // When no replica can serve the read, the primary can: it has every commit.
+    // A read that no replica can serve goes to the primary, which has every
+    // commit and confirms its leadership.
     if (!pool_request.primary && pool_request.avoid.size() + 1 >= backends.entries().size()) {
         pool_request.primary = true;
         pool_request.avoid.clear();
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -72,7 +72,8 @@
     /// Turns rate limiting of accounts on.
     void set_operation_limits(operation_limits how) { m_limits = std::move(how); }
 
-    /// Another proxy heard the primary of a service at `last_contact`.
+    /// Records that `peer` received an answer of the service's primary at
+    /// `last_contact`.
     void record_primary_path(const std::string& service, const proxy_node& peer, boot_clock::time_point last_contact) {
         m_paths.record_contact(service, peer, last_contact);
     }
--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -148,7 +148,8 @@
     for (;;) {
         active.status.is_idle = active.outside_transaction();
         const bool closing = m_close_idle_sessions || (m_close_after_answer && answered);
-        // A request that has arrived already is still answered.
+        // A request that has arrived already is still answered: its caller could
+        // not know that the session was about to be closed.
         if (closing && active.status.is_idle && caller.close_if_no_input()) {
             break;
         }
