--- a/tests/unit/path_cut.cpp
+++ b/tests/unit/path_cut.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// A proxy that has used the primary and can't reach it any more, and another,
-/// at port 2000, that may.
-struct proxy_cut_off : proxy_in_memory {
+/// A proxy that has used the primary and can't reach it any more. A peer with
+/// port 2000 may still reach it.
+struct partitioned_proxy : proxy_in_memory {
     session::proxy_node peer{"peer", "there", {asio::ip::make_address("10.0.0.2"), 2000}};
 
-    proxy_cut_off() {
+    partitioned_proxy() {
         connector.owners[2000];
         caller_script before{.events = {opening("strict"), ask("before", statement_kind::read, "1")}};
         play({&before});
@@ -22,14 +22,14 @@
         server("p").connect_fails = routing::connect_failure::silent;
     }
 
-    /// Lets time pass in which the primary is asked and does not answer.
-    void wait_for(std::chrono::milliseconds span, bool peer_hears) {
+    /// Runs for `span` while the primary is polled and does not answer.
+    void wait_for(std::chrono::milliseconds span, bool peer_reaches_primary) {
         asio::co_spawn(
             io,
             [&]() -> asio::awaitable<void> {
                 const auto begun = boot_clock::now();
                 while (boot_clock::now() - begun < span) {
-                    if (peer_hears) {
+                    if (peer_reaches_primary) {
                         host.record_primary_path("stock", peer, boot_clock::now());
                     }
                     host.tick();
@@ -49,11 +49,10 @@
 
 BOOST_AUTO_TEST_SUITE(path_cut)
 
-// Two of eight proxies find the primary silent for 5 s while six reach it. A
-// crew whose session is at one of the two has every notice refused, though any
-// of the six could file it.
-BOOST_AUTO_TEST_CASE(sessions_go_through_a_proxy_that_reaches_the_primary) {
-    proxy_cut_off proxy;
+// Guards against refusing all writes of sessions at two of eight proxies whose
+// path to the primary is cut for 5 s while the other six reach it.
+BOOST_AUTO_TEST_CASE(sessions_are_relayed_through_a_peer_that_reaches_the_primary) {
+    partitioned_proxy proxy;
     proxy.wait_for(900ms, true);
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
@@ -63,10 +62,10 @@
     BOOST_TEST(proxy.asked_at_peer() == std::vector<std::string>{"w"}, boost::test_tools::per_element());
 }
 
-// A primary that nobody hears is lost, and another one is promoted: there is
-// no way round.
-BOOST_AUTO_TEST_CASE(where_nobody_hears_the_primary_sessions_stay) {
-    proxy_cut_off proxy;
+// A primary that no proxy reaches has failed, and another one is promoted: a relay
+// would not help.
+BOOST_AUTO_TEST_CASE(sessions_are_not_relayed_when_no_peer_reaches_the_primary) {
+    partitioned_proxy proxy;
     proxy.wait_for(900ms, false);
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
@@ -74,10 +73,10 @@
     BOOST_TEST(caller.welcomed);
 }
 
-// A relay of a relay could go round in circles: the proxy that was asked says
-// that it can't, and the one that asks tries another.
-BOOST_AUTO_TEST_CASE(a_relayed_session_is_not_relayed_again) {
-    proxy_cut_off proxy;
+// Guards against relay loops: the peer refuses the session, and the relaying proxy
+// tries another peer.
+BOOST_AUTO_TEST_CASE(relayed_session_is_not_relayed_again) {
+    partitioned_proxy proxy;
     proxy.wait_for(900ms, true);
     caller_script caller{.events = {session::session_opening{"strict", true}, ask("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
@@ -86,10 +85,10 @@
     BOOST_TEST(proxy.asked_at_peer().empty());
 }
 
-// The peer may have run the write when its connection ended: it must neither
-// be run again nor be promised not to have run.
-BOOST_AUTO_TEST_CASE(a_write_through_a_peer_that_goes_away_may_have_run) {
-    proxy_cut_off proxy;
+// The peer may have executed the write before the connection to it ended: the write
+// must neither be retried nor reported as not run.
+BOOST_AUTO_TEST_CASE(write_through_a_lost_peer_has_unknown_outcome) {
+    partitioned_proxy proxy;
     proxy.wait_for(900ms, true);
     proxy.connector.owners[2000].answers = 0;
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
@@ -100,33 +99,32 @@
     BOOST_TEST(proxy.asked_at_peer().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(sessions_are_spread_over_the_peers_that_heard_it_lately) {
+BOOST_AUTO_TEST_CASE(sessions_are_spread_over_peers_with_recent_contact) {
     const auto now = boot_clock::now();
     session::primary_paths paths;
     paths.record_contact("stock", {"a", "here", {}}, now);
     paths.record_contact("stock", {"b", "there", {}}, now - 500ms);
     paths.record_contact("stock", {"c", "there", {}}, now - 3s);
-    const auto here = now - 1s;
-    BOOST_TEST(paths.peers_reaching("stock", 0, now, here).size() == 2U);
-    BOOST_TEST(paths.peers_reaching("stock", 0, now, here).front().name !=
-               paths.peers_reaching("stock", 1, now, here).front().name);
-    BOOST_TEST(paths.peers_reaching("badges", 0, now, here).empty());
+    const auto local_contact = now - 1s;
+    BOOST_TEST(paths.peers_reaching("stock", 0, now, local_contact).size() == 2U);
+    BOOST_TEST(paths.peers_reaching("stock", 0, now, local_contact).front().name !=
+               paths.peers_reaching("stock", 1, now, local_contact).front().name);
+    BOOST_TEST(paths.peers_reaching("badges", 0, now, local_contact).empty());
 }
 
-// A primary crashes. The proxies heard it last within the same 200 ms; were
-// that taken for a way round, all sessions would be sent from one proxy to
-// another that can't serve them either.
-BOOST_AUTO_TEST_CASE(a_primary_that_was_heard_by_all_until_now_has_no_way_round) {
+// Guards against relaying all sessions to peers that can't serve them either when a
+// primary crashes: the last contacts of all proxies lie within 200 ms.
+BOOST_AUTO_TEST_CASE(failed_primary_has_no_detour) {
     const auto now = boot_clock::now();
     session::primary_paths paths;
     paths.record_contact("stock", {"a", "here", {}}, now - 600ms);
     BOOST_TEST(paths.peers_reaching("stock", 0, now, now - 800ms).empty());
 }
 
-// A session whose proxy can't reach the others either: its caller is told at
-// once, and can come back through another proxy within its aim.
-BOOST_AUTO_TEST_CASE(a_request_at_a_proxy_that_is_cut_off_is_refused_at_once) {
-    proxy_cut_off proxy;
+// A proxy that reaches neither the primary nor a peer refuses at once, so that the
+// caller can retry at another proxy within its target latency.
+BOOST_AUTO_TEST_CASE(request_at_an_isolated_proxy_is_refused_at_once) {
+    partitioned_proxy proxy;
     proxy.wait_for(900ms, true);
     proxy.connector.owners.clear();
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
--- a/tests/unit/sessions.cpp
+++ b/tests/unit/sessions.cpp
@@ -22,8 +22,9 @@
     return script.answers[answer].ok();
 }
 
-/// A proxy that owns no connections, and the one that does.
+/// A proxy that owns no connections and relays its sessions to fake owners.
 struct relaying_proxy : proxy_in_memory {
+    /// The owner that the first session tries first.
     fake_owner* owner{nullptr};
 
     explicit relaying_proxy(std::size_t limit = 5) {
@@ -38,7 +39,7 @@
         owner = owners.front();
     }
 
-    /// In the order in which the first session tries them.
+    /// All owners in the order in which the first session tries them.
     std::vector<fake_owner*> owners;
 };
 
@@ -46,7 +47,7 @@
 
 BOOST_AUTO_TEST_SUITE(sessions)
 
-BOOST_AUTO_TEST_CASE(a_database_that_does_not_exist_is_refused_at_the_opening) {
+BOOST_AUTO_TEST_CASE(unknown_database_is_refused_on_open) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("nowhere")}};
     proxy.play({&caller});
@@ -55,10 +56,10 @@
     BOOST_TEST(!caller.welcomed);
 }
 
-// A buyer is shown an oven that was sold a second ago. The primary was cut off
-// and another one promoted; the read was sent in one packet behind a BEGIN
-// that the old primary refused, and ran there without any proof of the lead.
-BOOST_AUTO_TEST_CASE(a_read_waits_for_the_proof_that_its_server_leads) {
+// Guards against stale reads at a partitioned primary after another one was
+// promoted: a read pipelined behind a BEGIN that the old primary refuses would
+// run there without leadership confirmation.
+BOOST_AUTO_TEST_CASE(read_waits_for_leadership_confirmation) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
@@ -72,16 +73,16 @@
         for (const auto& item : proxy.server("p").met) {
             const bool same_packet = item.connection == met.front().connection && item.batch == met.front().batch;
             if (same_packet && item.kind == statement_kind::begin) {
-                // The BEGIN in the packet of a read stands behind it, for the next one.
+                // A BEGIN in the batch of a read follows it and is for the next read.
                 BOOST_TEST((&item > &proxy.server("p").met.front()));
             }
         }
     }
 }
 
-// As above, but the lead was lost between the proof and the read: the
-// transaction's own check refuses the read, and it runs at the new primary.
-BOOST_AUTO_TEST_CASE(a_read_at_a_server_that_lost_the_lead_runs_at_the_new_primary) {
+// As above, but the server is demoted between the confirmation and the read: the
+// open transaction makes the server refuse the read.
+BOOST_AUTO_TEST_CASE(read_at_demoted_primary_is_retried_at_new_primary) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
@@ -94,7 +95,7 @@
     BOOST_TEST(proxy.server("r1").of("b").size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_read_of_some_age_runs_on_a_replica_behind_a_floor) {
+BOOST_AUTO_TEST_CASE(read_runs_on_replica_that_reached_the_floor) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("own"), ask("w", statement_kind::write, "1 x"), ask("r", statement_kind::read, "1")}};
@@ -106,9 +107,9 @@
     BOOST_TEST(proxy.server("r1").of("r").size() + proxy.server("r2").of("r").size() == 1U);
 }
 
-// A leader awards a badge and does not see it on the next page: the replica
-// that answered had not received the award yet.
-BOOST_AUTO_TEST_CASE(replicas_that_lack_the_sessions_own_commit_are_passed_over) {
+// Guards against a session that misses its own write because a replica has not
+// applied it yet.
+BOOST_AUTO_TEST_CASE(replicas_without_the_sessions_commit_are_skipped) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("own"), ask("w", statement_kind::write, "1 x"), ask("r", statement_kind::read, "1")}};
@@ -119,9 +120,9 @@
     BOOST_TEST(proxy.server("p").of("r").size() == 1U);
 }
 
-// Two chefs drive out for one oven: the reservation ran, its answer was lost,
-// and the proxy sent it again.
-BOOST_AUTO_TEST_CASE(a_write_whose_answer_is_lost_is_not_sent_again) {
+// Guards against a write that takes effect twice: it ran, its reply was lost, and
+// the proxy retried it.
+BOOST_AUTO_TEST_CASE(write_with_lost_reply_is_not_retried) {
     proxy_in_memory proxy;
     proxy.server("p").lose_answers = 1;
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
@@ -130,7 +131,7 @@
     BOOST_TEST(proxy.server("p").of("w").size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_write_refused_before_it_ran_goes_to_the_new_primary) {
+BOOST_AUTO_TEST_CASE(write_refused_before_execution_is_retried_at_new_primary) {
     proxy_in_memory proxy;
     proxy.server("p").leads = false;
     proxy.server("r2").leads = true;
@@ -140,7 +141,7 @@
     BOOST_TEST(proxy.server("r2").of("w").size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_read_whose_answer_is_lost_runs_on_another_server) {
+BOOST_AUTO_TEST_CASE(read_with_lost_reply_is_retried_on_another_server) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("fresh"), ask("w", statement_kind::read, "0"), ask("a", statement_kind::read, "1")}};
@@ -153,10 +154,9 @@
     BOOST_TEST(caller.answers[1].signature == "sig-a");
 }
 
-// A crew's notice waits 0.8 s and is given up, though the server is free: an
-// answer before it was lost, and its connection, the only one, stayed taken
-// until that statement's own timeout.
-BOOST_AUTO_TEST_CASE(a_lost_answer_does_not_hold_up_the_requests_behind_it) {
+// Guards against requests that wait 0.8 s although the server is idle: a reply was
+// lost, and the only connection stayed in use until that statement's timeout.
+BOOST_AUTO_TEST_CASE(lost_reply_does_not_block_queued_requests) {
     proxy_in_memory proxy;
     proxy.host.set_proxies(make_proxies(8));
     proxy.server("p").silent_for = 250ms;
@@ -166,7 +166,7 @@
     for (int i = 0; i < 40; ++i) {
         proxy.later(std::chrono::milliseconds{10 * i}, [&] { proxy.host.tick(); });
     }
-    // Its aim is longer than the time after which an answer is overdue.
+    // The target latency is longer than the time after which a reply is overdue.
     auto config = three_databases(2);
     config.routes.at("strict").target_latency = 250ms;
     proxy.host.update(config);
@@ -182,9 +182,9 @@
     BOOST_TEST((answered - begun < 240ms), to_ms(answered - begun) << " ms");
 }
 
-// One caller's reservation commits with another's work: its transaction failed
-// half-way, and its connection was handed on with the transaction open.
-BOOST_AUTO_TEST_CASE(a_transaction_that_fails_is_undone_and_says_so_until_it_is_ended) {
+// Guards against one caller's writes being committed by another: a transaction
+// failed half-way, and its connection was reused with the transaction open.
+BOOST_AUTO_TEST_CASE(failed_transaction_is_rolled_back_and_refuses_statements_until_ended) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
                                     ask("w", statement_kind::write, "1 x"), ask("v", statement_kind::write, "2 x"),
@@ -202,9 +202,8 @@
     BOOST_TEST(proxy.server("p").count(statement_kind::commit) == 0U);
 }
 
-// "Not run" was said of an award that is on the child's record: the commit ran
-// and its answer was lost.
-BOOST_AUTO_TEST_CASE(a_commit_without_an_answer_is_in_doubt_unless_it_wrote_nothing) {
+// Guards against reporting a commit as not run when it ran and its reply was lost.
+BOOST_AUTO_TEST_CASE(commit_without_reply_has_unknown_outcome_unless_read_only) {
     proxy_in_memory proxy;
     caller_script writer{.events = {opening("strict"), ask("b", statement_kind::begin),
                                     ask("w", statement_kind::write, "1 x"), ask("c", statement_kind::commit)}};
@@ -217,7 +216,7 @@
     BOOST_TEST((why(reader, 2) == refusal::aborted));
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_leaves_in_a_transaction_is_rolled_back) {
+BOOST_AUTO_TEST_CASE(transaction_is_rolled_back_when_caller_disconnects) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("strict"), ask("b", statement_kind::begin), ask("w", statement_kind::write, "1 x")}};
@@ -225,15 +224,15 @@
     const auto& met = proxy.server("p").met;
     const auto write = std::ranges::find_if(met, [](const auto& item) { return item.id == "w"; });
     BOOST_TEST_REQUIRE((write != met.end()));
-    const auto undone = std::find_if(write, met.end(), [&](const auto& item) {
+    const auto rolled_back = std::find_if(write, met.end(), [&](const auto& item) {
         return item.kind == statement_kind::rollback && item.connection == write->connection;
     });
-    BOOST_TEST((undone != met.end()));
+    BOOST_TEST((rolled_back != met.end()));
 }
 
-// A caller rests inside a transaction, and the connection that it holds is
-// missing to all others.
-BOOST_AUTO_TEST_CASE(a_transaction_that_rests_too_long_is_ended) {
+// Guards against a caller that is idle in a transaction and keeps a connection
+// from all others.
+BOOST_AUTO_TEST_CASE(idle_transaction_is_rolled_back_after_timeout) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
                                     ask("w", statement_kind::write, "1 x"), session::caller_timed_out{},
@@ -244,9 +243,9 @@
     BOOST_TEST(proxy.server("p").of("v").empty());
 }
 
-// A session reads with another caller's settings: its connection had served
-// that caller before.
-BOOST_AUTO_TEST_CASE(a_connection_holds_exactly_the_values_of_the_session_that_uses_it) {
+// Guards against a session that runs with the settings of the caller that used
+// its connection before.
+BOOST_AUTO_TEST_CASE(connection_has_exactly_the_values_of_its_session) {
     proxy_in_memory proxy;
     proxy.host.set_proxies(make_proxies(11));
     caller_script first{.events = {opening("strict"), ask("s1", statement_kind::set, "a1", "alpha"),
@@ -254,19 +253,19 @@
     caller_script second{.events = {opening("strict"), ask("s3", statement_kind::set, "a2", "alpha"),
                                     ask("r2", statement_kind::read, "1")}};
     proxy.play({&first, &second});
-    const auto mine = proxy.server("p").of("r1");
-    const auto yours = proxy.server("p").of("r2");
-    BOOST_TEST_REQUIRE(mine.size() == 1U);
-    BOOST_TEST_REQUIRE(yours.size() == 1U);
-    BOOST_TEST(mine.front().connection == yours.front().connection);
-    BOOST_TEST(mine.front().values.size() == 2U);
-    BOOST_TEST(yours.front().values.size() == 1U);
-    BOOST_TEST(yours.front().values.at("alpha") == "a2");
-}
-
-// A request is handled by the newer configuration while the transaction that
-// it runs in was opened under the older: the server counts it to the older.
-BOOST_AUTO_TEST_CASE(a_transaction_opened_before_a_configuration_is_not_used_after_it) {
+    const auto first_read = proxy.server("p").of("r1");
+    const auto second_read = proxy.server("p").of("r2");
+    BOOST_TEST_REQUIRE(first_read.size() == 1U);
+    BOOST_TEST_REQUIRE(second_read.size() == 1U);
+    BOOST_TEST(first_read.front().connection == second_read.front().connection);
+    BOOST_TEST(first_read.front().values.size() == 2U);
+    BOOST_TEST(second_read.front().values.size() == 1U);
+    BOOST_TEST(second_read.front().values.at("alpha") == "a2");
+}
+
+// Guards against a request that is routed by the newer configuration and runs in
+// a transaction opened under the older one, to which the server attributes it.
+BOOST_AUTO_TEST_CASE(transaction_opened_under_older_configuration_is_not_used) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
@@ -286,7 +285,7 @@
     BOOST_TEST((opened != read));
 }
 
-BOOST_AUTO_TEST_CASE(a_database_that_was_removed_is_refused_from_the_next_statement_on) {
+BOOST_AUTO_TEST_CASE(removed_database_is_refused_from_next_statement) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
@@ -299,7 +298,7 @@
     BOOST_TEST((why(caller, 1) == refusal::no_such_database));
 }
 
-BOOST_AUTO_TEST_CASE(an_older_configuration_is_never_taken) {
+BOOST_AUTO_TEST_CASE(older_configuration_is_ignored) {
     proxy_in_memory proxy;
     proxy.host.update(three_databases(5));
     auto older = three_databases(4);
@@ -309,9 +308,9 @@
     BOOST_TEST(proxy.host.config().routes.size() == 3U);
 }
 
-// A request gets no answer at a planned stop: it had arrived as its session was
-// closed for resting, ran, and had nobody left to be told to.
-BOOST_AUTO_TEST_CASE(a_stop_answers_what_has_arrived_and_then_closes) {
+// Guards against requests without a reply at a planned stop: the request arrived
+// just as its session was closed as idle, ran, and its reply could not be sent.
+BOOST_AUTO_TEST_CASE(planned_stop_answers_received_requests_before_closing) {
     proxy_in_memory proxy;
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
@@ -321,9 +320,9 @@
     BOOST_TEST(caller.closed);
 }
 
-// A request is cut at a planned stop: its session rested and was closed while
-// the request was on its way. Behind an answer there can be none.
-BOOST_AUTO_TEST_CASE(a_stop_closes_a_session_behind_its_next_answer) {
+// Guards against interrupted requests at a planned stop: an idle session was
+// closed while a request was in transit. Right after a reply there can be none.
+BOOST_AUTO_TEST_CASE(planned_stop_closes_session_after_next_reply) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
     caller.before[1] = [&] { proxy.host.close_after_answer(); };
@@ -333,7 +332,7 @@
     BOOST_TEST(caller.taken == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_stop_ends_transactions_with_their_next_statement) {
+BOOST_AUTO_TEST_CASE(planned_stop_aborts_transactions_at_next_statement) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
                                     ask("w", statement_kind::write, "1 x"), ask("v", statement_kind::write, "2 x")}};
@@ -342,10 +341,10 @@
     BOOST_TEST((why(caller, 2) == refusal::aborted));
 }
 
-// Requests are refused in the first moments of a failover although there is
-// time to wait for the new primary: they began to wait when the old one was
-// not known to be lost, for no longer than the latency aimed at.
-BOOST_AUTO_TEST_CASE(a_request_goes_on_waiting_once_the_primary_is_found_to_be_lost) {
+// Guards against refusing requests at the start of a failover although there is
+// time to wait for the new primary: they began to wait before the old one was
+// known to be lost, for at most their target latency.
+BOOST_AUTO_TEST_CASE(request_keeps_waiting_during_failover) {
     proxy_in_memory proxy;
     proxy.server("p").connect_fails = routing::connect_failure::refused;
     proxy.server("p").leads = false;
@@ -364,8 +363,9 @@
     BOOST_TEST(proxy.server("r1").of("w").size() == 1U);
 }
 
-// A caller waits its whole time although no server can take its request.
-BOOST_AUTO_TEST_CASE(without_any_primary_a_write_is_refused_as_not_run_with_a_time_to_come_back) {
+// Guards against a caller that waits until its timeout although no server can run
+// its request.
+BOOST_AUTO_TEST_CASE(write_without_primary_is_refused_with_retry_after) {
     proxy_in_memory proxy;
     for (const auto* id : {"p", "r1", "r2"}) {
         proxy.server(id).leads = false;
@@ -376,9 +376,9 @@
     BOOST_TEST(caller.answers[0].error->text.find("retry after") != std::string::npos);
 }
 
-// Most sessions are refused although the servers are idle: there are more
-// proxies than connections that a server takes, and each held one at most.
-BOOST_AUTO_TEST_CASE(a_proxy_without_connections_relays_to_one_that_owns_them) {
+// Guards against refusing most sessions while the servers are idle: there are more
+// proxies than connections that a server accepts, and each proxy held at most one.
+BOOST_AUTO_TEST_CASE(non_owner_relays_to_connection_owner) {
     proxy_in_memory proxy;
     auto config = three_databases(2);
     config.services["stock"].max_connections = 5;
@@ -395,18 +395,18 @@
     proxy.play({&caller});
     BOOST_TEST(caller.answers[0].signature == "owner-r");
     BOOST_TEST(proxy.server("p").met.empty());
-    // The owner is gone before it answers the commit: it may have run.
+    // The owner disconnects before it replies to the commit, which may have run.
     BOOST_TEST((why(caller, 3) == refusal::outcome_unknown));
-    // A session that another proxy relayed is served here.
+    // A session relayed by another proxy is executed locally.
     caller_script relayed{.events = {session::session_opening{"strict", true}, ask("q", statement_kind::read, "1")}};
     proxy.play({&relayed});
     BOOST_TEST(proxy.server("p").of("q").size() == 1U);
 }
 
-// A buyer's page takes a tenth of a second more through a proxy without
-// connections: its eight values and prepared statements each waited for the
-// owner, which shares a small VM's processor with others.
-BOOST_AUTO_TEST_CASE(what_an_owner_only_takes_note_of_is_not_waited_for) {
+// Guards against 100 ms of extra latency through a proxy without connections: each
+// of a session's eight values and prepared statements waited for a reply of the
+// owner, which shares the CPU of a small VM.
+BOOST_AUTO_TEST_CASE(session_state_requests_do_not_wait_for_the_owner) {
     relaying_proxy proxy;
     caller_script caller{.events = {opening("strict"), ask("s", statement_kind::set, "1"),
                                     ask("p", statement_kind::prepare, "q"), ask("b", statement_kind::begin),
@@ -417,15 +417,15 @@
     BOOST_TEST(ok(caller, 1));
     BOOST_TEST(ok(caller, 2));
     BOOST_TEST((caller.answers[2].state == transaction_state::open));
-    // The owner was gone all the while; nothing of the transaction is kept.
+    // The owner was unreachable throughout; the transaction is rolled back.
     BOOST_TEST((why(caller, 3) == refusal::aborted));
     BOOST_TEST((caller.answers[3].state == transaction_state::failed));
 }
 
-// A read runs outside the transaction that its caller was told is open, and the
-// next one sees another state: the owner did not know the database any more and
-// refused the BEGIN that had been acknowledged.
-BOOST_AUTO_TEST_CASE(nothing_runs_behind_a_begin_that_the_owner_refused) {
+// Guards against statements that run outside the transaction that their caller
+// believes to be open, so that two reads see different states: the owner did not
+// know the database any more and refused the BEGIN that had been acknowledged.
+BOOST_AUTO_TEST_CASE(no_statement_runs_after_owner_refused_begin) {
     relaying_proxy proxy;
     proxy.owner->refuses_passed_on = true;
     caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
@@ -437,11 +437,11 @@
     BOOST_TEST(proxy.owner->asked == std::vector<std::string>{"b"}, boost::test_tools::per_element());
 }
 
-// Callers' connections are closed by the hundred whenever a proxy is stopped by
-// plan that owns connections: all of them open new sessions at once. Their
-// sessions go on at another owner, which has to know their values and what
-// they committed last, or they would miss their own writes.
-BOOST_AUTO_TEST_CASE(a_session_at_rest_goes_on_when_its_owner_stops) {
+// Guards against closing hundreds of callers' connections when a connection owner
+// is stopped, after which all of them open new sessions at once. The sessions
+// continue at another owner, which needs their values and the position of their
+// last commit, or they would miss their own writes.
+BOOST_AUTO_TEST_CASE(idle_session_continues_at_another_owner) {
     relaying_proxy proxy{8};
     BOOST_TEST_REQUIRE(proxy.owners.size() >= 2U);
     proxy.owners[0]->position = sql::log_position{3, 77};
@@ -460,8 +460,8 @@
     BOOST_TEST(proxy.owners[1]->asked.back() == "r");
 }
 
-// What committed inside a transaction counts as well.
-BOOST_AUTO_TEST_CASE(a_commit_at_an_owner_is_known_at_the_next) {
+// As above, for a commit that ended a transaction.
+BOOST_AUTO_TEST_CASE(commit_position_is_passed_to_next_owner) {
     relaying_proxy proxy{8};
     proxy.owners[0]->position = sql::log_position{3, 78};
     proxy.owners[0]->answers = 3;
@@ -475,10 +475,10 @@
     BOOST_TEST((proxy.owners[1]->opened_after.front() == sql::log_position{3, 78}));
 }
 
-// One request in thirty is refused long after a partition has ended: proxies
-// that had served what the owners were cut off from kept their connections, and
-// the servers were full.
-BOOST_AUTO_TEST_CASE(a_proxy_gives_back_connections_that_it_does_not_own) {
+// Guards against refusals (one request in thirty) long after a partition has
+// ended: proxies that had executed operations while the owners were unreachable
+// kept their connections, and the servers' connection limits were exhausted.
+BOOST_AUTO_TEST_CASE(non_owner_closes_unused_connections) {
     relaying_proxy proxy;
     proxy.connector.owners.clear();
     caller_script caller{.events = {opening("strict"), ask("r", statement_kind::read, "1")}};
@@ -508,8 +508,8 @@
     BOOST_TEST(!proxy.host.pool_for("stock").used());
 }
 
-// A session that opens and waits, as most do, takes nothing of an owner.
-BOOST_AUTO_TEST_CASE(an_owner_is_asked_only_for_statements_that_run) {
+// Most sessions open and wait; these must not use resources of an owner.
+BOOST_AUTO_TEST_CASE(owner_is_contacted_only_for_executed_statements) {
     relaying_proxy proxy;
     caller_script caller{.events = {opening("strict"), ask("s", statement_kind::set, "1", "zone"),
                                     ask("p", statement_kind::prepare, "q", "n"), ask("b", statement_kind::begin),
@@ -519,9 +519,9 @@
     BOOST_TEST(proxy.owner->opened_after.empty());
 }
 
-// Two fifths of the requests are refused for good after all proxies were off:
-// the sessions that came first stayed with proxies that own no connections.
-BOOST_AUTO_TEST_CASE(a_session_that_began_before_owners_were_known_moves_to_one) {
+// Guards against refusing two fifths of the requests permanently after an outage
+// of all proxies: the first sessions stayed at proxies that own no connections.
+BOOST_AUTO_TEST_CASE(session_moves_to_owner_once_owners_are_known) {
     proxy_in_memory proxy;
     auto config = three_databases(2);
     config.services["stock"].max_connections = 5;
@@ -538,9 +538,9 @@
     BOOST_TEST(caller.answers[1].signature == "owner-b");
 }
 
-// A proxy ends by itself: a database was removed while a session that had
-// named it waited for the other proxies to be known.
-BOOST_AUTO_TEST_CASE(a_database_removed_while_a_session_opens_ends_nothing_else) {
+// Guards against a crash of the proxy when a database is removed while one of its
+// sessions waits for the membership list.
+BOOST_AUTO_TEST_CASE(database_removed_while_request_waits_is_refused) {
     proxy_in_memory proxy;
     proxy.host.set_proxies({});
     asio::steady_timer removed{proxy.io, 50ms};
@@ -555,23 +555,23 @@
     BOOST_TEST((why(caller, 0) == refusal::no_such_database));
 }
 
-BOOST_AUTO_TEST_CASE(owners_are_the_same_for_all_and_spread_over_data_centres) {
+BOOST_AUTO_TEST_CASE(ownership_is_deterministic_and_spread_over_data_centres) {
     const auto shared = session::allocate_connections("stock", 22, make_proxies(20));
     BOOST_TEST(shared.owners.size() == 5U);
     BOOST_TEST(2 * shared.owners.size() * shared.connections_each <= 22U);
-    auto turned = make_proxies(20);
-    std::ranges::reverse(turned);
-    BOOST_TEST((session::allocate_connections("stock", 22, turned).owners == shared.owners));
+    auto reversed = make_proxies(20);
+    std::ranges::reverse(reversed);
+    BOOST_TEST((session::allocate_connections("stock", 22, reversed).owners == shared.owners));
     const auto here = std::ranges::count(shared.owners, "here", &session::proxy_node::data_center);
     BOOST_TEST(here == 3);
     const auto order = session::relay_order(shared, "there", 7);
     BOOST_TEST(order.size() == 5U);
     BOOST_TEST(order.front().data_center == "there");
     // One proxy more moves at most two owners.
-    const auto more = session::allocate_connections("stock", 22, make_proxies(21));
+    const auto with_one_more = session::allocate_connections("stock", 22, make_proxies(21));
     std::size_t kept = 0;
     for (const auto& item : shared.owners) {
-        kept += more.owns(item.name) ? 1 : 0;
+        kept += with_one_more.owns(item.name) ? 1 : 0;
     }
     BOOST_TEST(kept >= 4U);
     BOOST_TEST(session::allocate_connections("stock", 16, make_proxies(7)).owners.empty());
--- a/tests/unit/startup.cpp
+++ b/tests/unit/startup.cpp
@@ -7,12 +7,12 @@
 using namespace std::chrono_literals;
 using sql::statement_kind;
 
-BOOST_AUTO_TEST_SUITE(starting)
+BOOST_AUTO_TEST_SUITE(startup)
 
-// All proxies lost power and are started together. A crew files a notice 20 ms
-// later and is refused three times in as many milliseconds, by three proxies
-// that are still reading the configuration; the notice is lost.
-BOOST_AUTO_TEST_CASE(an_opening_waits_for_the_first_configuration) {
+// Guards against lost writes when all proxies are started together: 20 ms later a
+// caller was refused three times within as many milliseconds, by three proxies
+// that were still reading the configuration, and had no attempts left.
+BOOST_AUTO_TEST_CASE(session_opening_waits_for_the_first_configuration) {
     proxy_in_memory proxy{proxy_in_memory::unconfigured{}};
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
     proxy.later(40ms, [&] { proxy.configure(); });
@@ -24,8 +24,8 @@
     BOOST_TEST((boot_clock::now() - begun < 300ms));
 }
 
-// The store is away: nobody can say when a configuration comes.
-BOOST_AUTO_TEST_CASE(a_configuration_that_does_not_come_is_not_waited_for_twice) {
+// The store is unavailable, so that it is unknown when a configuration arrives.
+BOOST_AUTO_TEST_CASE(missing_configuration_is_waited_for_only_once) {
     proxy_in_memory proxy{proxy_in_memory::unconfigured{}};
     caller_script first{.events = {opening("strict")}};
     proxy.play({&first});
