--- a/tests/unit/fake_caller.hpp
+++ b/tests/unit/fake_caller.hpp
@@ -11,19 +11,21 @@
 
 namespace cornellever::test {
 
-/// What a caller in memory will send, and what it was answered.
+/// The input of a fake caller, and the replies it received.
 struct caller_script {
     std::deque<session::caller_event> events;
-    /// Runs before the event of that number is taken.
+    /// Callbacks that run before the event with that index is delivered.
     std::map<std::size_t, std::function<void()>> before{};
     std::vector<sql::reply> answers{};
     std::vector<sql::statement_error> refusals{};
+    /// Number of events delivered.
     std::size_t taken{0};
     bool welcomed{false};
     bool closed{false};
 };
 
-/// A caller in memory (session::caller_channel). Leaves at the script's end.
+/// A caller in memory (session::caller_channel). Disconnects at the end of the
+/// script.
 class fake_caller {
 public:
     explicit fake_caller(caller_script& script) : m_script{&script} {}
@@ -32,7 +34,7 @@
         if (const auto found = m_script->before.find(m_script->taken); found != m_script->before.end()) {
             found->second();
         }
-        // Lets the pool take connections back before the next statement.
+        // Gives the pool time to reclaim connections before the next statement.
         co_await sleep_for(std::chrono::milliseconds{2});
         if (m_script->closed || m_script->events.empty()) {
             co_return session::caller_disconnected{};
--- a/tests/unit/proxy_in_memory.hpp
+++ b/tests/unit/proxy_in_memory.hpp
@@ -10,7 +10,7 @@
 
 namespace cornellever::test {
 
-/// Proxies `a`, `b` and so on in two data centres.
+/// Proxies `a`, `b` and so on, alternating between two data centres.
 [[nodiscard]] inline std::vector<session::proxy_node> make_proxies(std::size_t count) {
     std::vector<session::proxy_node> out;
     for (std::size_t i = 0; i < count; ++i) {
@@ -21,13 +21,13 @@
     return out;
 }
 
-/// A proxy in memory before three fake servers.
+/// A proxy in memory with three fake servers.
 struct proxy_in_memory {
     event_loop io;
     fake_connector connector;
     session::traffic<fake_connector> host{io.get_executor(), connector, "a", "here"};
 
-    /// For a process that has heard nothing yet.
+    /// Tag for a proxy that has no configuration yet.
     struct unconfigured {};
 
     proxy_in_memory() { configure(); }
@@ -40,7 +40,7 @@
         host.set_proxies(make_proxies(3));
     }
 
-    /// Runs `what` while a script is played.
+    /// Runs `what` after `when`, while a script is played.
     void later(std::chrono::milliseconds when, std::function<void()> what) {
         asio::co_spawn(
             io,
@@ -53,7 +53,7 @@
 
     fake_server& server(const std::string& id) { return connector.servers[id]; }
 
-    /// Plays the scripts one after the other.
+    /// Serves the scripted callers one after the other.
     void play(std::vector<caller_script*> scripts) {
         asio::co_spawn(
             io,
@@ -69,8 +69,8 @@
         io.restart();
     }
 
-    /// Plays the scripts at the same time, each begun a little after the one
-    /// before; `watch` runs every few milliseconds.
+    /// Serves the scripted callers concurrently, started 15 ms apart. `watch`
+    /// runs every 2 ms.
     void play_together(std::vector<caller_script*> scripts, std::function<void()> watch) {
         std::size_t left = scripts.size();
         std::chrono::milliseconds begin{0};
--- a/tests/unit/server_restarts.cpp
+++ b/tests/unit/server_restarts.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// The registry in which `id` started again at `born_ms`.
-routing::registry reborn(const std::string& id, std::uint64_t version, std::uint64_t born_ms,
-                         routing::server_role role = routing::server_role::replica) {
+/// A registry in which `id` was restarted at `born_ms`.
+routing::registry registry_after_restart(const std::string& id, std::uint64_t version, std::uint64_t born_ms,
+                                         routing::server_role role = routing::server_role::replica) {
     auto out = three_servers();
     out.version = version;
     for (auto& [name, server] : out.servers) {
@@ -22,26 +22,26 @@
     return out;
 }
 
-routing::registry as_begun() {
-    return reborn("p", 2, 1000, routing::server_role::primary);
+routing::registry initial_registry() {
+    return registry_after_restart("p", 2, 1000, routing::server_role::primary);
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(rebirth)
+BOOST_AUTO_TEST_SUITE(server_restarts)
 
-// A grower is shown readings of last week: the primary crashed and started
-// again under its id, with nothing in it, before anybody missed it. The proxy
-// went on taking it for the primary that had proved its lead a moment before.
-BOOST_AUTO_TEST_CASE(a_primary_that_started_again_is_not_the_primary_until_it_proves_so) {
+// Guards against reads of stale or missing data: the primary crashed and restarted
+// empty under the same id before the failure was noticed, and the proxy kept
+// using it because the previous process had confirmed its leadership.
+BOOST_AUTO_TEST_CASE(restarted_primary_is_not_used_before_leadership_confirmation) {
     proxy_in_memory proxy;
-    proxy.host.update(as_begun());
+    proxy.host.update(initial_registry());
     caller_script caller{
         .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
     caller.before[2] = [&] {
         proxy.server("p").leads = false;
         proxy.server("r1").leads = true;
-        proxy.host.update(reborn("p", 3, 2000));
+        proxy.host.update(registry_after_restart("p", 3, 2000));
         BOOST_TEST(proxy.host.pool_for("stock").primary() != "p");
     };
     proxy.play({&caller});
@@ -50,25 +50,25 @@
     BOOST_TEST(proxy.server("r1").of("b").size() == 1U);
 }
 
-// As above, but another proxy has seen the rebirth later: its word that the
-// server leads is from before, and comes after.
-BOOST_AUTO_TEST_CASE(a_peers_word_from_before_the_rebirth_does_not_count) {
+// As above, but a peer notices the restart later: its report of the server's
+// leadership dates from before the restart and arrives after it.
+BOOST_AUTO_TEST_CASE(peer_report_from_before_the_restart_is_ignored) {
     proxy_in_memory proxy;
-    proxy.host.update(as_begun());
+    proxy.host.update(initial_registry());
     auto& pool = proxy.host.pool_for("stock");
     const auto before = boot_clock::now();
-    proxy.host.update(reborn("p", 3, 2000));
+    proxy.host.update(registry_after_restart("p", 3, 2000));
     pool.believe("p", before);
     BOOST_TEST(pool.primary().empty());
     pool.believe("p", boot_clock::now());
     BOOST_TEST(pool.primary() == "p");
 }
 
-// Every read of a session waits for a connection that is never handed back:
-// the connections to the server's process before counted against the budget.
-BOOST_AUTO_TEST_CASE(connections_to_the_process_before_are_closed_and_new_ones_opened) {
+// Guards against reads that wait forever for a connection: connections to the
+// server's previous process counted against the connection budget.
+BOOST_AUTO_TEST_CASE(connections_to_the_previous_process_are_replaced) {
     proxy_in_memory proxy;
-    proxy.host.update(as_begun());
+    proxy.host.update(initial_registry());
     caller_script caller{.events = {opening("own"), ask("w", statement_kind::write, "1 x"),
                                     ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
     proxy.server("r1").position = {1, 11};
@@ -76,7 +76,7 @@
     int opened_before = 0;
     caller.before[3] = [&] {
         opened_before = proxy.server("r1").connections;
-        proxy.host.update(reborn("r1", 3, 2000));
+        proxy.host.update(registry_after_restart("r1", 3, 2000));
         proxy.host.tick();
     };
     proxy.play({&caller});
@@ -88,11 +88,11 @@
     }
 }
 
-// A replica was known to lack a position, or to be slow, before it started
-// again: none of that is true of it now.
-BOOST_AUTO_TEST_CASE(nothing_that_was_known_of_a_server_outlives_its_process) {
+// A replica that was known to lag or to be unreachable may be neither after its
+// restart.
+BOOST_AUTO_TEST_CASE(server_state_is_reset_on_restart) {
     proxy_in_memory proxy;
-    proxy.host.update(as_begun());
+    proxy.host.update(initial_registry());
     auto& pool = proxy.host.pool_for("stock");
     auto& before = *pool.entries().at("r1");
     pool.add_sample({boot_clock::now() - 2s, {1, 8}});
@@ -101,36 +101,36 @@
     BOOST_TEST(before.progress.lacks({1, 10}, boot_clock::now() - 1ms, pool.floor()));
     pool.note_failure(before, routing::link_failure::silent);
     BOOST_TEST(before.unreachable());
-    proxy.host.update(reborn("r1", 3, 2000));
+    proxy.host.update(registry_after_restart("r1", 3, 2000));
     auto& after = *pool.entries().at("r1");
     BOOST_TEST(!after.unreachable());
     BOOST_TEST(!after.progress.lacks({1, 10}, boot_clock::now(), pool.floor()));
 }
 
-// A grower is shown an empty register: the primary had started again with
-// nothing in its log, still led, and proved so to every proxy that asked.
-BOOST_AUTO_TEST_CASE(a_primary_without_its_log_is_not_read_from) {
+// Guards against reads of an empty database: the primary restarted with an empty
+// log, was still the primary, and confirmed that to every proxy.
+BOOST_AUTO_TEST_CASE(primary_that_lost_its_log_serves_no_reads) {
     proxy_in_memory proxy;
-    proxy.host.update(as_begun());
+    proxy.host.update(initial_registry());
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x"),
                                     ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1")}};
     caller.before[3] = [&] {
         proxy.server("p").position = {1, 0};
-        proxy.host.update(reborn("p", 3, 2000, routing::server_role::primary));
+        proxy.host.update(registry_after_restart("p", 3, 2000, routing::server_role::primary));
     };
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 3U);
     BOOST_TEST(caller.answers[1].ok());
     BOOST_TEST(!caller.answers[2].ok());
     BOOST_TEST(proxy.server("p").of("b").empty());
-    // What the others are told, so that one with the commits is promoted.
+    // Reported to the peers, so that a replica with the commits is promoted.
     const auto sight = proxy.host.pool_for("stock").sight();
     BOOST_TEST(sight.id == "p");
     BOOST_TEST(sight.unreachable);
 }
 
-// As above, and nobody had noticed that it was away: no registration changed.
-BOOST_AUTO_TEST_CASE(a_shorter_log_shows_also_before_the_registration_tells) {
+// As above, but the restart went unnoticed and the registration did not change.
+BOOST_AUTO_TEST_CASE(lost_log_is_detected_before_reregistration) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x"),
                                     ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1"),
@@ -152,11 +152,11 @@
     BOOST_TEST(proxy.server("r1").of("c").size() == 1U);
 }
 
-// A third of all requests failed for 11 s until every proxy was started again:
-// the replica that was promoted had lacked commits of the primary that was
-// lost, and named as its position the last entry that it had. That looked like
-// a log that had got shorter, and nobody used the new primary.
-BOOST_AUTO_TEST_CASE(a_replica_that_was_promoted_without_the_last_commits_is_used) {
+// Guards against proxies that don't use a new primary: the promoted replica lacked
+// commits of the lost primary and reported its own last position, which looked
+// like a truncated log. A third of all requests failed for 11 s until every proxy
+// was restarted.
+BOOST_AUTO_TEST_CASE(promoted_replica_without_the_last_commits_is_used) {
     proxy_in_memory proxy;
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x"),
                                     ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1")}};
@@ -173,7 +173,7 @@
 }
 
 // Guards against reads of an empty database at a proxy that started after the primary lost its log.
-BOOST_AUTO_TEST_CASE(a_proxy_that_starts_later_does_not_use_a_primary_without_its_log) {
+BOOST_AUTO_TEST_CASE(new_proxy_does_not_read_from_primary_that_lost_its_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {1, 0};
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
@@ -187,7 +187,7 @@
 }
 
 // Guards against a write that is acknowledged by a primary without its log and lost with the promotion.
-BOOST_AUTO_TEST_CASE(a_proxy_that_starts_later_writes_nothing_to_a_primary_without_its_log) {
+BOOST_AUTO_TEST_CASE(new_proxy_does_not_write_to_primary_that_lost_its_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {1, 0};
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
@@ -198,7 +198,7 @@
 }
 
 // Guards against refusing a service that has no commits yet.
-BOOST_AUTO_TEST_CASE(a_new_service_is_served_as_soon_as_its_replicas_say_that_they_are_empty) {
+BOOST_AUTO_TEST_CASE(new_service_is_served_once_its_replicas_report_empty_logs) {
     proxy_in_memory proxy;
     for (const auto* id : {"p", "r1", "r2"}) {
         proxy.server(id).position = {1, 0};
@@ -210,8 +210,9 @@
     BOOST_TEST(proxy.host.pool_for("stock").primary() == "p");
 }
 
-// Guards against the use of an empty primary by a proxy that another one told of its commits, where no replica answers.
-BOOST_AUTO_TEST_CASE(a_proxy_that_was_told_of_commits_does_not_use_a_primary_that_lacks_them) {
+// Guards against the use of a primary that lost its log where no replica answers, by a proxy to which a peer reported
+// the primary's position.
+BOOST_AUTO_TEST_CASE(primary_behind_the_position_reported_by_a_peer_is_not_used) {
     proxy_in_memory proxy;
     proxy.server("p").position = {1, 3};
     proxy.server("r1").connect_fails = routing::connect_failure::refused;
@@ -224,8 +225,8 @@
     BOOST_TEST(proxy.server("p").of("a").empty());
 }
 
-// Guards against a peer's word that undoes what this proxy found out about the primary's log.
-BOOST_AUTO_TEST_CASE(a_peer_that_knows_no_position_does_not_bring_back_a_primary_without_its_log) {
+// Guards against a peer's report that overrides what this proxy found out about the primary's log.
+BOOST_AUTO_TEST_CASE(peer_report_without_position_does_not_clear_a_lost_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {1, 0};
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
@@ -236,8 +237,8 @@
     BOOST_TEST(pool.sight().log_lost);
 }
 
-// Guards against an empty primary that counts as healthy because the only log left is of an earlier term.
-BOOST_AUTO_TEST_CASE(entries_of_an_earlier_term_show_that_an_empty_primary_lost_its_log) {
+// Guards against an empty primary that counts as healthy because the only remaining log is of an earlier term.
+BOOST_AUTO_TEST_CASE(replica_entries_of_an_earlier_term_reveal_a_lost_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {2, 0};
     proxy.server("r1").position = {1, 7};
@@ -249,21 +250,21 @@
     BOOST_TEST(proxy.host.pool_for("stock").sight().log_lost);
 }
 
-// Guards against a finding that is hidden by the row of a primary that crashed before.
-BOOST_AUTO_TEST_CASE(an_older_primarys_row_does_not_hide_that_the_log_was_lost) {
+// Guards against a lost log that stays undetected because of the registry row of a primary that crashed before.
+BOOST_AUTO_TEST_CASE(row_of_an_earlier_primary_does_not_hide_a_lost_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {2, 0};
     caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     proxy.server("r1").connect_fails = routing::connect_failure::refused;
-    proxy.host.update(reborn("r1", 5, 1000, routing::server_role::primary));
+    proxy.host.update(registry_after_restart("r1", 5, 1000, routing::server_role::primary));
     const auto sight = proxy.host.pool_for("stock").sight();
     BOOST_TEST(sight.id == "p");
     BOOST_TEST(sight.log_lost);
 }
 
-// Guards against a record of an earlier lead that makes a server unusable when it leads again.
-BOOST_AUTO_TEST_CASE(what_a_server_named_while_it_led_counts_until_another_one_leads) {
+// Guards against a log position of an earlier term as primary that makes a server unusable when it is promoted again.
+BOOST_AUTO_TEST_CASE(reported_log_position_is_dropped_when_another_server_becomes_primary) {
     routing::leader_log log;
     const auto now = boot_clock::now();
     log.note("p", {1, 9}, now);
@@ -276,8 +277,8 @@
     BOOST_TEST(!log.shorter_at("p", {1, 8}, now + 1ms));
 }
 
-// Guards against a statement that is sent again without end to a server that proves its lead and refuses writes.
-BOOST_AUTO_TEST_CASE(a_write_that_the_primary_refuses_twice_is_refused_at_once) {
+// Guards against endless retries of a statement at a server that confirms its leadership and refuses writes.
+BOOST_AUTO_TEST_CASE(write_refused_twice_by_the_primary_is_refused_at_once) {
     proxy_in_memory proxy;
     proxy.server("p").refuse = 1000;
     proxy.server("p").refuse_with = sql::refusal::not_primary;
@@ -290,8 +291,8 @@
     BOOST_TEST(to_ms(boot_clock::now() - begun) < 250);
 }
 
-// Guards against a storm of questions and log lines about a server that proves its lead and refuses writes.
-BOOST_AUTO_TEST_CASE(a_primary_that_refuses_its_lead_is_taken_for_it_again_ever_less_often) {
+// Guards against a flood of probes and log lines for a server that confirms its leadership and refuses writes.
+BOOST_AUTO_TEST_CASE(primary_that_refuses_writes_is_retried_with_backoff) {
     routing::lead_doubt doubt;
     const auto begun = boot_clock::now();
     int taken = 0;
@@ -307,9 +308,9 @@
     BOOST_TEST(doubt.admits(begun));
 }
 
-// Servers of an older kind do not tell when they started, and a row that was
-// written before may come late: neither is a rebirth.
-BOOST_AUTO_TEST_CASE(a_start_that_is_unknown_or_earlier_is_no_rebirth) {
+// Older servers do not report when they started, and an older row may arrive late:
+// neither is a restart.
+BOOST_AUTO_TEST_CASE(unknown_or_earlier_start_time_is_no_restart) {
     routing::backend_server known;
     known.born_ms = 2000;
     routing::backend_server other;
