--- a/src/cornellever/session/serve_settings.cpp
+++ b/src/cornellever/session/serve_settings.cpp
@@ -17,7 +17,7 @@
 /// Parses a value into the settings; returns the problem if it is invalid.
 using setting_parser = std::function<std::optional<std::string>(const std::string&, serve_settings&)>;
 
-setting_parser text(std::string serve_settings::*member) {
+setting_parser text_parser(std::string serve_settings::*member) {
     return [member](const std::string& value, serve_settings& out) -> std::optional<std::string> {
         if (value.empty()) {
             return "must not be empty";
@@ -27,7 +27,7 @@
     };
 }
 
-setting_parser address(tcp::endpoint serve_settings::*member) {
+setting_parser endpoint_parser(tcp::endpoint serve_settings::*member) {
     return [member](const std::string& value, serve_settings& out) -> std::optional<std::string> {
         if (!parse_endpoint(value, out.*member)) {
             return "must be IP:PORT, not '" + value + "'";
@@ -122,15 +122,15 @@
 
 const std::map<std::string, setting_parser, std::less<>>& setting_parsers() {
     static const std::map<std::string, setting_parser, std::less<>> all{
-        {"name", text(&serve_settings::name)},
-        {"data_center", text(&serve_settings::data_center)},
-        {"callers", address(&serve_settings::callers)},
-        {"readiness", address(&serve_settings::readiness)},
-        {"peers", address(&serve_settings::peers)},
-        {"heartbeats", address(&serve_settings::heartbeats)},
+        {"name", text_parser(&serve_settings::name)},
+        {"data_center", text_parser(&serve_settings::data_center)},
+        {"callers", endpoint_parser(&serve_settings::callers)},
+        {"readiness", endpoint_parser(&serve_settings::readiness)},
+        {"peers", endpoint_parser(&serve_settings::peers)},
+        {"heartbeats", endpoint_parser(&serve_settings::heartbeats)},
         {"seeds", read_seeds},
-        {"store", address(&serve_settings::store)},
-        {"orders", address(&serve_settings::orders)},
+        {"store", endpoint_parser(&serve_settings::store)},
+        {"orders", endpoint_parser(&serve_settings::orders)},
         {"grace_s", read_grace},
         {"first_start", read_first_start},
         {"revocation_ms", read_revocation},
@@ -138,8 +138,8 @@
         {"limit_window_s", read_limit_window},
         {"limit_overage", read_limit_overage},
         {"limit_slack", read_limit_slack},
-        {"log_level", text(&serve_settings::log_level)},
-        {"metrics", address(&serve_settings::metrics)},
+        {"log_level", text_parser(&serve_settings::log_level)},
+        {"metrics", endpoint_parser(&serve_settings::metrics)},
     };
     return all;
 }
--- a/tests/unit/sessions.cpp
+++ b/tests/unit/sessions.cpp
@@ -423,7 +423,7 @@
 }
 
 // Guards against statements that run outside the transaction that their caller
-// believes to be open, so that two reads see different states: the owner did not
+// was told is open, so that two reads see different states: the owner did not
 // know the database any more and refused the BEGIN that had been acknowledged.
 BOOST_AUTO_TEST_CASE(no_statement_runs_after_owner_refused_begin) {
     relaying_proxy proxy;
