--- a/src/cornellever/session/relay.hpp
+++ b/src/cornellever/session/relay.hpp
@@ -44,8 +44,8 @@
 /// rolls back a transaction that was open there. The outcome is unknown for a
 /// commit, or a write outside a transaction, if `may_have_changed`: it was sent
 /// and may have taken effect. `state` is the transaction state before it.
-[[nodiscard]] inline sql::reply reply_after_owner_loss(const sql::request& request, sql::transaction_state state,
-                                                       bool may_have_changed) {
+[[nodiscard]] inline sql::reply reply_after_peer_loss(const sql::request& request, sql::transaction_state state,
+                                                      bool may_have_changed) {
     const bool commit = request.what.kind == sql::statement_kind::commit;
     if (may_have_changed && (commit || state == sql::transaction_state::idle)) {
         return refused(sql::refusal::outcome_unknown, "the proxy that owns the connections is gone",
--- a/src/cornellever/session/traffic_relay.ipp
+++ b/src/cornellever/session/traffic_relay.ipp
@@ -252,7 +252,7 @@
     }
     const bool commit = request.what.kind == sql::statement_kind::commit;
     const bool changes = commit ? at_peer.wrote : writes(active, request);
-    auto out = reply_after_owner_loss(request, at_peer.state, changes && why != routing::link_failure::not_sent);
+    auto out = reply_after_peer_loss(request, at_peer.state, changes && why != routing::link_failure::not_sent);
     const bool unknown = !out.ok() && out.why() == sql::refusal::outcome_unknown;
     log_event(unknown ? event::outcome_unknown : event::request_refused,
               "request=" + request.id + " database=" + active.state.database +
