--- a/tests/unit/server_restarts.cpp
+++ b/tests/unit/server_restarts.cpp
@@ -83,8 +83,8 @@
     BOOST_TEST_REQUIRE(caller.answers.size() == 3U);
     BOOST_TEST(caller.answers[2].ok());
     BOOST_TEST(proxy.server("r1").connections > opened_before);
-    for (const auto& [id, at] : proxy.host.pool_for("stock").entries()) {
-        BOOST_TEST(at->held() <= 4U);
+    for (const auto& [id, entry] : proxy.host.pool_for("stock").entries()) {
+        BOOST_TEST(entry->held() <= 4U);
     }
 }
 
@@ -124,9 +124,9 @@
     BOOST_TEST(!caller.answers[2].ok());
     BOOST_TEST(proxy.server("p").of("b").empty());
     // Reported to the peers, so that a replica with the commits is promoted.
-    const auto sight = proxy.host.pool_for("stock").sight();
-    BOOST_TEST(sight.id == "p");
-    BOOST_TEST(sight.unreachable);
+    const auto observation = proxy.host.pool_for("stock").sight();
+    BOOST_TEST(observation.id == "p");
+    BOOST_TEST(observation.unreachable);
 }
 
 // As above, but the restart went unnoticed and the registration did not change.
@@ -181,9 +181,9 @@
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(!caller.answers[0].ok());
     BOOST_TEST(proxy.server("p").of("a").empty());
-    const auto sight = proxy.host.pool_for("stock").sight();
-    BOOST_TEST(sight.id == "p");
-    BOOST_TEST(sight.log_lost);
+    const auto observation = proxy.host.pool_for("stock").sight();
+    BOOST_TEST(observation.id == "p");
+    BOOST_TEST(observation.log_lost);
 }
 
 // Guards against a write that is acknowledged by a primary without its log and lost with the promotion.
@@ -258,9 +258,9 @@
     proxy.play({&caller});
     proxy.server("r1").connect_fails = routing::connect_failure::refused;
     proxy.host.update(registry_after_restart("r1", 5, 1000, routing::server_role::primary));
-    const auto sight = proxy.host.pool_for("stock").sight();
-    BOOST_TEST(sight.id == "p");
-    BOOST_TEST(sight.log_lost);
+    const auto observation = proxy.host.pool_for("stock").sight();
+    BOOST_TEST(observation.id == "p");
+    BOOST_TEST(observation.log_lost);
 }
 
 // Guards against a log position of an earlier term as primary that makes a server unusable when it is promoted again.
--- a/tests/unit/sessions.cpp
+++ b/tests/unit/sessions.cpp
@@ -486,8 +486,8 @@
     BOOST_TEST(ok(caller, 0));
     const auto held = [&] {
         std::size_t out = 0;
-        for (const auto& [id, at] : proxy.host.pool_for("stock").entries()) {
-            out += at->held();
+        for (const auto& [id, entry] : proxy.host.pool_for("stock").entries()) {
+            out += entry->held();
         }
         return out;
     };
