--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -110,7 +110,8 @@
 /// Delays a session opening that arrives before the first configuration, at most
 /// until `max_configuration_wait` after the start. When all proxies are started
 /// together, refused callers would retry at proxies without a configuration and
-/// use up their attempts within milliseconds.
+/// use up their attempts within milliseconds. Later openings without a
+/// configuration are refused at once.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_configuration() {
     if (!has_configuration()) {
