--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -278,7 +278,7 @@
     std::vector<std::string> m_joined;
     /// Whether the other proxies have been read from the store.
     bool m_peers_loaded{false};
-    std::vector<session::proxy_place> m_published_proxies;
+    std::vector<session::proxy_node> m_published_proxies;
     /// Whether `m_published_proxies` included every proxy in the table when it was published.
     bool m_published_complete{false};
     std::minstd_rand m_random{std::random_device{}()};
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -139,7 +139,7 @@
     if (!m_peers_loaded && boot_clock::now() - m_started < peer_list_timeout) {
         return;
     }
-    std::vector<session::proxy_place> places{{m_settings.name, m_settings.data_center, m_settings.sessions}};
+    std::vector<session::proxy_node> places{{m_settings.name, m_settings.data_center, m_settings.sessions}};
     for (const auto& [name, item] : m_members.peers()) {
         places.push_back({name, item.data_center, {item.address.address(), m_settings.sessions.port()}});
     }
--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -86,7 +86,7 @@
             continue;
         }
         for (const auto& owner :
-             session::share_connections(name, limits->second.max_connections, m_published_proxies).owners) {
+             session::allocate_connections(name, limits->second.max_connections, m_published_proxies).owners) {
             out.insert(owner.name);
         }
     }
@@ -184,7 +184,7 @@
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::forward_reports(const peer_message& message,
                                                         const asio::ip::udp::endpoint& from, time_point ages_as_of) {
-    const session::proxy_place peer{message.sender, message.data_center, {from.address(), m_settings.sessions.port()}};
+    const session::proxy_node peer{message.sender, message.data_center, {from.address(), m_settings.sessions.port()}};
     std::vector<peer_observation> received;
     for (const auto& item : message.primaries) {
         peer_observation observed{.service = item.service,
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -78,7 +78,7 @@
     const auto at = m_freshness.at(index_of(cached_table::configuration)).confirmed_current_at();
     if (at > m_published_confirmation) {
         m_published_confirmation = at;
-        m_bridge.prove_configuration(at);
+        m_bridge.confirm_configuration(at);
     }
 }
 
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -32,7 +32,7 @@
     boot_clock::time_point leadership_confirmed_at;
     std::optional<routing::freshness_sample> sample;
     /// The peer, and when the primary last answered it.
-    session::proxy_place peer;
+    session::proxy_node peer;
     boot_clock::time_point last_contact_at;
     /// The server that the peer reports on, and the highest log position that it is known to have
     /// reported as the primary.
@@ -54,11 +54,11 @@
         asio::post(m_executor, [this, value = std::move(value)]() mutable { m_host.update(std::move(value)); });
     }
 
-    void prove_configuration(boot_clock::time_point at) {
-        asio::post(m_executor, [this, at] { m_host.prove_configuration(at); });
+    void confirm_configuration(boot_clock::time_point at) {
+        asio::post(m_executor, [this, at] { m_host.confirm_configuration(at); });
     }
 
-    void set_proxies(std::vector<session::proxy_place> places, bool complete) {
+    void set_proxies(std::vector<session::proxy_node> places, bool complete) {
         asio::post(m_executor, [this, places = std::move(places), complete]() mutable {
             m_host.set_proxies(std::move(places), complete);
         });
@@ -116,7 +116,7 @@
 
     void apply_observation(const peer_observation& received) {
         if (!received.primary.empty()) {
-            m_host.note_path(received.service, received.peer, received.last_contact_at);
+            m_host.record_primary_path(received.service, received.peer, received.last_contact_at);
         }
         if (received.highest_position) {
             m_host.note_reported_position(received.service, {received.reported, *received.highest_position});
--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -15,7 +15,7 @@
 #include "cornellever/routing/leadership_backoff.hpp"
 #include "cornellever/routing/model.hpp"
 #include "cornellever/routing/replica_progress.hpp"
-#include "cornellever/session/connection_memory.hpp"
+#include "cornellever/session/connection_session_state.hpp"
 
 namespace cornellever::routing {
 
@@ -34,7 +34,7 @@
     /// When it last became idle.
     boot_clock::time_point returned_at{};
     /// Session state that is set up on the connection.
-    session::connection_memory memory;
+    session::connection_session_state memory;
     /// Checked out by a request or used by the pool's housekeeping.
     bool busy{false};
     /// Held by a transaction that is between two statements.
--- /dev/null
+++ b/src/cornellever/session/connection_ownership.cpp
@@ -0,0 +1,70 @@
+#include "cornellever/session/connection_ownership.hpp"
+
+#include <algorithm>
+#include <cstdint>
+#include <map>
+#include <utility>
+#include <vector>
+
+#include "cornellever/core/stable_hash.hpp"
+#include "cornellever/routing/connection_budget.hpp"
+
+namespace cornellever::session {
+
+namespace {
+
+/// Connections of an owner to each server. With two, a statement can run on one
+/// while the other is held by a transaction that is idle between statements.
+constexpr std::size_t connections_per_owner = 2;
+
+/// Maximum number of owners of one service's connections. The loss of one moves
+/// an eighth of the sessions. More owners would only send more concurrent
+/// statements to servers that run two at a time, and more heartbeats, since each
+/// owner polls all others.
+constexpr std::size_t max_owners = 8;
+
+/// With fewer proxies than this, the extra hop of a relay costs more than a
+/// second connection for each proxy gains.
+constexpr std::size_t min_sharing_proxies = 12;
+
+} // namespace
+
+bool connection_ownership::owns(std::string_view proxy) const {
+    return owners.empty() || std::ranges::any_of(owners, [&](const auto& item) { return item.name == proxy; });
+}
+
+connection_ownership allocate_connections(std::string_view service, std::size_t limit,
+                                          std::span<const proxy_node> proxies) {
+    const auto each = routing::connections_per_proxy(limit, proxies.size());
+    if (each >= 2 || proxies.size() < min_sharing_proxies) {
+        return {{},
+                each,
+                std::max(each, routing::connections_under_load(limit) / std::max<std::size_t>(1, proxies.size()))};
+    }
+    const auto usable = routing::shared_connections(limit);
+    const auto owner_count =
+        std::clamp<std::size_t>(usable / connections_per_owner, 1, std::min(proxies.size(), max_owners));
+    using ranked_node = std::pair<std::uint64_t, const proxy_node*>;
+    std::map<std::string_view, std::vector<ranked_node>> by_data_center;
+    for (const auto& item : proxies) {
+        by_data_center[item.data_center].emplace_back(stable_hash({service, "/", item.name}), &item);
+    }
+    for (auto& [data_center, nodes] : by_data_center) {
+        std::ranges::sort(nodes, {}, &ranked_node::first);
+    }
+    connection_ownership out;
+    // Round-robin over the data centres, so that sessions find a nearby owner.
+    for (std::size_t rank = 0; out.owners.size() < owner_count; ++rank) {
+        for (const auto& [data_center, nodes] : by_data_center) {
+            if (rank < nodes.size() && out.owners.size() < owner_count) {
+                out.owners.push_back(*nodes[rank].second);
+            }
+        }
+    }
+    out.connections_each = std::max<std::size_t>(1, usable / out.owners.size());
+    out.connections_each_under_load =
+        std::max(out.connections_each, routing::connections_under_load(limit) / out.owners.size());
+    return out;
+}
+
+} // namespace cornellever::session
--- a/src/cornellever/session/describe.hpp
+++ b/src/cornellever/session/describe.hpp
@@ -7,7 +7,7 @@
 
 namespace cornellever::session {
 
-/// The traffic side's state, for a dump on request.
+/// State of the data plane as JSON, for state dumps.
 template <routing::link_connector Connector>
 [[nodiscard]] Json::Value describe(traffic<Connector>& host) {
     const auto now = boot_clock::now();
@@ -29,8 +29,8 @@
     for (const auto& [digest, name] : host.authorizer().accounts().keys()) {
         out["accounts"][name]["keys"].append(digest.fingerprint());
     }
-    out["served"] = host.counters().served_in.describe();
-    out["waited_for_connection"] = host.counters().waited_for_connection.describe();
+    out["served"] = host.counters().statement_latency.describe();
+    out["waited_for_connection"] = host.counters().connection_wait.describe();
     for (const auto& [name, backends] : host.pools()) {
         auto& pool = out["services"][name];
         pool["primary"] = backends->primary();
@@ -41,28 +41,28 @@
             pool["sample"] = sql::to_string(newest->position);
             pool["sample_ms"] = static_cast<Json::Int64>(to_ms(now - newest->asked_at));
         }
-        for (const auto& [id, at] : backends->entries()) {
+        for (const auto& [id, entry] : backends->entries()) {
             auto& server = pool["servers"][id];
-            server["data_center"] = at->server.data_center;
-            for (const auto& item : at->open_connections) {
+            server["data_center"] = entry->server.data_center;
+            for (const auto& item : entry->open_connections) {
                 if (!item->account.empty()) {
                     auto& held = server["connections_of"][item->account];
                     held = held.asUInt64() + 1;
                 }
             }
-            server["connections"] = static_cast<Json::UInt64>(at->open_connections.size());
-            server["idle"] = static_cast<Json::UInt64>(at->idle());
-            server["in_flight"] = static_cast<Json::UInt64>(at->in_flight);
-            server["typical_ms"] = at->statement_time.value(now);
-            server["draining"] = at->server.draining;
-            server["unreachable"] = at->unreachable();
-            server["heard_ms"] = static_cast<Json::Int64>(to_ms(now - at->last_contact_at));
+            server["connections"] = static_cast<Json::UInt64>(entry->open_connections.size());
+            server["idle"] = static_cast<Json::UInt64>(entry->idle());
+            server["in_flight"] = static_cast<Json::UInt64>(entry->in_flight);
+            server["typical_ms"] = entry->statement_time.value(now);
+            server["draining"] = entry->server.draining;
+            server["unreachable"] = entry->unreachable();
+            server["heard_ms"] = static_cast<Json::Int64>(to_ms(now - entry->last_contact_at));
         }
     }
     return out;
 }
 
-/// The traffic side's counters and latencies.
+/// Adds the data plane's counters, gauges and latencies to `into`.
 template <routing::link_connector Connector>
 void expose(traffic<Connector>& host, metrics::exposition& into) {
     const auto now = boot_clock::now();
@@ -76,22 +76,24 @@
                  counted.reads_on_replicas, {{"role", "replica"}});
     into.counter("cornellever_reads_total", "", counted.reads_on_primary, {{"role", "primary"}});
     into.counter("cornellever_transactions_total", "Transactions opened by callers.", counted.transactions_opened);
-    into.counter("cornellever_transactions_undone_total", "Transactions rolled back.", counted.transactions_undone);
+    into.counter("cornellever_transactions_undone_total", "Transactions rolled back.",
+                 counted.transactions_rolled_back);
     into.counter("cornellever_limit_refusals_total", "Operations refused for their account's limit, by cause.",
-                 counted.over_limit, {{"cause", "used_up"}});
-    into.counter("cornellever_limit_refusals_total", "", counted.limit_unknown, {{"cause", "no_coordinator"}});
+                 counted.over_limit_refusals, {{"cause", "used_up"}});
+    into.counter("cornellever_limit_refusals_total", "", counted.unknown_limit_refusals, {{"cause", "no_coordinator"}});
     into.gauge("cornellever_configuration_proof_age_milliseconds",
                "Since the configuration was last known to be the newest; -1 when never.",
                host.authorizer().lease().ever_confirmed()
                    ? static_cast<double>(to_ms(host.authorizer().lease().age(now)))
                    : -1.0);
-    for (std::size_t i = 0; i < traffic_counters::refusals; ++i) {
+    for (std::size_t i = 0; i < traffic_counters::refusal_kinds; ++i) {
         into.counter("cornellever_refused_total", i == 0 ? "Statements answered with an error, by cause." : "",
                      counted.refused.at(i), {{"cause", std::string{sql::to_string(static_cast<sql::refusal>(i))}}});
     }
-    into.summary("cornellever_served_microseconds", "From a statement's arrival to its answer.", counted.served_in);
+    into.summary("cornellever_served_microseconds", "From a statement's arrival to its answer.",
+                 counted.statement_latency);
     into.summary("cornellever_connection_wait_microseconds", "Waiting for a connection to a server.",
-                 counted.waited_for_connection);
+                 counted.connection_wait);
     into.gauge("cornellever_config_version", "Version of the configuration in force.",
                static_cast<double>(host.config().version));
     for (const auto& [name, backends] : host.pools()) {
@@ -100,13 +102,13 @@
                    static_cast<double>(backends->waiting()), {{"service", name}});
         into.gauge("cornellever_sample_age_milliseconds", "Age of the newest freshness sample; -1 without one.",
                    newest == nullptr ? -1.0 : static_cast<double>(to_ms(now - newest->asked_at)), {{"service", name}});
-        for (const auto& [id, at] : backends->entries()) {
+        for (const auto& [id, entry] : backends->entries()) {
             const metrics::labels of{{"service", name}, {"server", id}};
             into.gauge("cornellever_connections", "Connections to a server.",
-                       static_cast<double>(at->open_connections.size()), of);
-            into.gauge("cornellever_connections_idle", "Those not in use.", static_cast<double>(at->idle()), of);
+                       static_cast<double>(entry->open_connections.size()), of);
+            into.gauge("cornellever_connections_idle", "Those not in use.", static_cast<double>(entry->idle()), of);
             into.gauge("cornellever_server_typical_milliseconds", "Moving average of a statement's time at a server.",
-                       at->statement_time.value(now), of);
+                       entry->statement_time.value(now), of);
             into.gauge("cornellever_server_primary", "1 for the server taken for the primary.",
                        id == backends->primary() ? 1.0 : 0.0, of);
         }
--- a/src/cornellever/session/operation_limits.hpp
+++ b/src/cornellever/session/operation_limits.hpp
@@ -8,17 +8,18 @@
 #include "cornellever/accounts/directory.hpp"
 #include "cornellever/core/asio.hpp"
 #include "cornellever/limits/limiter.hpp"
-#include "cornellever/session/ownership.hpp"
+#include "cornellever/session/connection_ownership.hpp"
 
 namespace cornellever::session {
 
-/// How the traffic side has operations counted; both empty where no limits are
-/// kept.
+/// Hooks that connect sessions to the rate limiter. Both are empty when rate
+/// limiting is off.
 struct operation_limits {
-    /// Has one operation of an account granted.
+    /// Requests permission for one operation of an account.
     std::function<asio::awaitable<limits::admission_result>(std::string account, accounts::rate_limit limit)> admit{};
-    /// Takes the proxies that there are, and whether these are known to be all.
-    std::function<void(const std::vector<proxy_place>& proxies, bool complete)> set_proxies{};
+    /// Receives the current proxies of the cluster. `complete` is whether the
+    /// list is known to contain all of them.
+    std::function<void(const std::vector<proxy_node>& proxies, bool complete)> set_proxies{};
 };
 
 } // namespace cornellever::session
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -11,36 +11,38 @@
 #include "cornellever/core/scoped_count.hpp"
 #include "cornellever/routing/admission.hpp"
 #include "cornellever/routing/service_pool.hpp"
-#include "cornellever/session/answers.hpp"
+#include "cornellever/session/replies.hpp"
 #include "cornellever/session/session_state.hpp"
 #include "cornellever/session/traffic_counters.hpp"
 
 namespace cornellever::session {
 
-/// One statement on its way: what it is, and for whom.
+/// One execution of a statement, with its route and session.
 struct statement_run {
     const routing::database_route& route;
-    /// Whose the request is and whether it may still run.
+    /// Tells the request's account and whether the request is permitted.
     const accounts::authorizer& authorizer;
     session_state& session;
     const sql::request& request;
-    /// Set for `execute`: what the name stands for.
+    /// For `execute`: the prepared statement. Null otherwise.
     const prepared_statement* prepared{nullptr};
+    /// When the request was received.
     boot_clock::time_point arrival;
 
     [[nodiscard]] bool writes() const noexcept {
         return request.what.kind == sql::statement_kind::write ||
                (prepared != nullptr && prepared->access_mode == sql::access::write);
     }
+    /// The statement's deadline.
     [[nodiscard]] boot_clock::time_point until() const { return arrival + route.statement_timeout; }
     [[nodiscard]] accounts::authorizer::decision permitted() const {
         return authorizer.ask(route.keyless, session.key, boot_clock::now());
     }
 };
 
-/// Runs statements on backend servers: alone, or as part of a transaction that
-/// stays on the connection of its first statement. Decides what is run again
-/// elsewhere and what must not be.
+/// Executes statements on backend servers, either in autocommit mode or in a
+/// transaction that is pinned to one connection. Retries statements on another
+/// server where that is safe: reads, and writes that certainly did not run.
 template <routing::link_connector Connector>
 class statement_engine {
 public:
@@ -49,75 +51,84 @@
     using entry = typename pool::entry;
     using time_point = boot_clock::time_point;
 
-    /// A caller's transaction. It takes a connection with its first statement.
+    /// A caller's transaction. A connection is acquired for its first statement
+    /// and stays pinned until the transaction ends.
     struct transaction {
         routing::database_route route;
         pool* backends{nullptr};
         bool read_only{false};
-        /// What the log of its server had to hold; nothing on the primary.
+        /// The log position that its replica had to have applied; empty if it
+        /// runs on the primary.
         std::optional<sql::log_position> floor{};
         bool wrote{false};
+        /// Rolled back. Statements are refused until the caller ends it.
         bool failed{false};
         lease pinned{};
     };
 
     explicit statement_engine(traffic_counters& counters) : m_counters{counters} {}
 
-    /// Runs one statement outside a transaction.
-    asio::awaitable<sql::reply> run_alone(pool& backends, const statement_run& run);
+    /// Executes one statement outside a transaction.
+    asio::awaitable<sql::reply> run_autocommit(pool& backends, const statement_run& run);
 
-    /// Runs a statement or the commit of a transaction.
-    asio::awaitable<sql::reply> run_inside(transaction& inside, const statement_run& run);
+    /// Executes a statement or the commit of a transaction.
+    asio::awaitable<sql::reply> run_in_transaction(transaction& tx, const statement_run& run);
 
-    /// Undoes the transaction; its connection goes on to others.
-    void undo(transaction& inside);
+    /// Rolls the transaction back and returns its connection to the pool.
+    void roll_back_transaction(transaction& tx);
 
 private:
-    enum class verdict { answered, again };
+    /// Whether the request has its reply or is executed again.
+    enum class outcome { answered, retry };
 
-    [[nodiscard]] static routing::time_limits limits_of(const statement_run& run);
+    [[nodiscard]] static routing::time_limits time_limits_of(const statement_run& run);
     asio::awaitable<void> await_sample(pool& backends, const statement_run& run, bool needs_primary);
-    [[nodiscard]] std::optional<sql::reply> forbid(const statement_run& run,
-                                                   const accounts::authorizer::decision& may) const;
-    [[nodiscard]] std::optional<sql::reply> forbid_on(const statement_run& run, const lease& held) const;
+    [[nodiscard]] std::optional<sql::reply> permission_refusal(const statement_run& run,
+                                                               const accounts::authorizer::decision& permission) const;
+    [[nodiscard]] std::optional<sql::reply> permission_refusal_at_send(const statement_run& run,
+                                                                       const lease& held) const;
     [[nodiscard]] std::optional<sql::reply> admit(pool& backends, const statement_run& run,
-                                                  routing::connection_request& want);
-    asio::awaitable<lease> connection_for(pool& backends, const statement_run& run, routing::connection_request& want,
-                                          sql::reply& refusal);
-    asio::awaitable<bool> arm(pool& backends, lease& held, time_point until);
-    [[nodiscard]] std::vector<sql::command> batch_for(lease& held, const statement_run& run,
-                                                      const std::optional<sql::log_position>& floor,
-                                                      std::size_t& wanted) const;
+                                                  routing::connection_request& pool_request);
+    asio::awaitable<lease> acquire_connection(pool& backends, const statement_run& run,
+                                              routing::connection_request& pool_request, sql::reply& refusal);
+    asio::awaitable<bool> prime_connection(pool& backends, lease& held, time_point until);
+    [[nodiscard]] std::vector<sql::command> build_batch(lease& held, const statement_run& run,
+                                                        const std::optional<sql::log_position>& floor,
+                                                        std::size_t& reply_index) const;
     asio::awaitable<routing::link_reply> exchange(pool& backends, lease& held, std::vector<sql::command> batch,
-                                                  std::size_t wanted, time_point until);
-    verdict judge_read(pool& backends, lease& held, const statement_run& run, routing::connection_request& want,
-                       const routing::link_reply& got, sql::reply& out);
-    verdict judge_write(pool& backends, lease& held, const statement_run& run, routing::connection_request& want,
-                        const routing::link_reply& got, sql::reply& out);
-    [[nodiscard]] static bool refused_again(routing::connection_request& want, const std::string& server);
-    asio::awaitable<bool> pin(transaction& inside, const statement_run& run, sql::reply& refusal);
+                                                  std::size_t reply_index, time_point until);
+    outcome handle_read_reply(pool& backends, lease& held, const statement_run& run,
+                              routing::connection_request& pool_request, const routing::link_reply& reply,
+                              sql::reply& out);
+    outcome handle_write_reply(pool& backends, lease& held, const statement_run& run,
+                               routing::connection_request& pool_request, const routing::link_reply& reply,
+                               sql::reply& out);
+    [[nodiscard]] static bool refused_twice(routing::connection_request& pool_request, const std::string& server);
+    asio::awaitable<bool> pin(transaction& tx, const statement_run& run, sql::reply& refusal);
     asio::awaitable<bool> open_read_only(pool& backends, lease& held, const std::optional<sql::log_position>& floor,
                                          time_point until);
-    [[nodiscard]] std::optional<sql::reply> forbid_inside(transaction& inside, const statement_run& run);
-    sql::reply fail_inside(transaction& inside, const statement_run& run, std::string_view reason);
-    sql::reply finish_commit(transaction& inside, const statement_run& run, const routing::link_reply& got);
+    [[nodiscard]] std::optional<sql::reply> abort_unpermitted(transaction& tx, const statement_run& run);
+    sql::reply fail_transaction(transaction& tx, const statement_run& run, std::string_view reason);
+    sql::reply finish_commit(transaction& tx, const statement_run& run, const routing::link_reply& reply);
     [[nodiscard]] static sql::command command_of(const statement_run& run);
-    [[nodiscard]] routing::connection_request want_of(const pool& backends, const statement_run& run,
-                                                      bool needs_primary) const;
+    [[nodiscard]] routing::connection_request pool_request_for(const pool& backends, const statement_run& run,
+                                                               bool needs_primary) const;
     void log_served(pool& backends, const lease& held, const statement_run& run,
                     const std::optional<sql::log_position>& floor) const;
-    [[nodiscard]] static std::string describe_lag(const std::optional<sql::log_position>& floor, const sql::reply& got);
+    [[nodiscard]] static std::string describe_lag(const std::optional<sql::log_position>& floor,
+                                                  const sql::reply& reply);
     void log_decision(event id, const statement_run& run, std::string_view server, std::string_view reason) const;
 
-    /// A read without an answer for so long is run again elsewhere: twice what
-    /// the slowest ordinary one takes (110 ms of work behind a short queue).
-    static constexpr std::chrono::milliseconds read_try_limit{400};
+    /// A read without a reply for this long is retried on another server. Twice
+    /// the time of the slowest normal read (110 ms of work behind a short queue).
+    static constexpr std::chrono::milliseconds read_attempt_timeout{400};
 
-    /// A new connection (30 ms) and a round trip, or a peer's answer.
-    static constexpr std::chrono::milliseconds sample_wait{120};
-    static constexpr std::chrono::milliseconds sample_poll{10};
-    /// About what it takes to find another primary where one was promoted.
-    static constexpr std::chrono::milliseconds refused_lead_pause{100};
+    /// Enough for opening a connection (30 ms) and a round trip to the primary,
+    /// or for a peer's reply.
+    static constexpr std::chrono::milliseconds max_sample_wait{120};
+    static constexpr std::chrono::milliseconds sample_poll_interval{10};
+    /// About the time it takes to find the new primary after a promotion.
+    static constexpr std::chrono::milliseconds not_primary_retry_after{100};
 
     traffic_counters& m_counters;
 };
@@ -125,6 +136,6 @@
 } // namespace cornellever::session
 
 #include "cornellever/session/statement_engine.ipp"
+#include "cornellever/session/statement_outcomes.ipp"
 #include "cornellever/session/statement_permission.ipp"
 #include "cornellever/session/statement_transactions.ipp"
-#include "cornellever/session/statement_verdicts.ipp"
--- /dev/null
+++ b/src/cornellever/session/statement_outcomes.ipp
@@ -0,0 +1,134 @@
+#pragma once
+
+// Handles the replies to statements outside transactions: decides whether a
+// statement is answered or retried.
+
+namespace cornellever::session {
+
+/// Whether `server` refused the request as not being the primary twice in a row.
+/// Further retries would repeat that until the statement times out.
+template <routing::link_connector Connector>
+bool statement_engine<Connector>::refused_twice(routing::connection_request& pool_request, const std::string& server) {
+    return std::exchange(pool_request.refused_by, server) == server;
+}
+
+template <routing::link_connector Connector>
+typename statement_engine<Connector>::outcome
+statement_engine<Connector>::handle_read_reply(pool& backends, lease& held, const statement_run& run,
+                                               routing::connection_request& pool_request,
+                                               const routing::link_reply& reply, sql::reply& out) {
+    auto& backend = *held->server_entry;
+    const auto& id = backend.server.id;
+    if (!reply) {
+        log_decision(event::statement_retried, run, id, routing::to_string(reply.error()));
+        if (reply.error() != routing::link_failure::not_sent && !pool_request.primary) {
+            pool_request.excluded_servers.push_back(id);
+        }
+    } else if (reply->ok()) {
+        ++(id == backends.primary() ? m_counters.reads_on_primary : m_counters.reads_on_replicas);
+        out = *reply;
+        return outcome::answered;
+    } else {
+        const auto why = reply->why();
+        log_decision(event::statement_retried, run, id,
+                     why == sql::refusal::behind ? describe_lag(pool_request.floor, *reply)
+                                                 : std::string{sql::to_string(why)});
+        switch (why) {
+        case sql::refusal::behind:
+            pool_request.excluded_servers.push_back(id);
+            break;
+        case sql::refusal::not_primary:
+            backends.note_not_primary(backend);
+            if (refused_twice(pool_request, id)) {
+                out = refused_for_now("the primary refuses its lead", not_primary_retry_after);
+                return outcome::answered;
+            }
+            break;
+        case sql::refusal::overloaded:
+            if (pool_request.primary) {
+                out = refused_for_now("server busy", std::chrono::milliseconds{50});
+                return outcome::answered;
+            }
+            pool_request.excluded_servers.push_back(id);
+            break;
+        case sql::refusal::no_such_prepared_statement:
+            held->connection->close();
+            break;
+        case sql::refusal::failed:
+        case sql::refusal::timed_out:
+            if (std::ranges::find(pool_request.excluded_servers, id) != pool_request.excluded_servers.end() ||
+                pool_request.primary) {
+                out = *reply;
+                return outcome::answered;
+            }
+            pool_request.excluded_servers.push_back(id);
+            break;
+        default:
+            out = *reply;
+            return outcome::answered;
+        }
+    }
+    // A read that no replica can serve goes to the primary, which has every
+    // commit and confirms its leadership.
+    if (!pool_request.primary && pool_request.excluded_servers.size() + 1 >= backends.entries().size()) {
+        pool_request.primary = true;
+        pool_request.excluded_servers.clear();
+    }
+    if (boot_clock::now() >= run.until()) {
+        out = refused(sql::refusal::timed_out, "no answer in time", sql::transaction_state::idle);
+        return outcome::answered;
+    }
+    return outcome::retry;
+}
+
+template <routing::link_connector Connector>
+typename statement_engine<Connector>::outcome
+statement_engine<Connector>::handle_write_reply(pool& backends, lease& held, const statement_run& run,
+                                                routing::connection_request& pool_request,
+                                                const routing::link_reply& reply, sql::reply& out) {
+    auto& backend = *held->server_entry;
+    const auto& id = backend.server.id;
+    if (!reply) {
+        if (reply.error() == routing::link_failure::not_sent) {
+            log_decision(event::statement_retried, run, id, "not_sent");
+            return outcome::retry;
+        }
+        // The write may have run; a retry could make it take effect twice.
+        log_decision(event::outcome_unknown, run, id, routing::to_string(reply.error()));
+        out = refused(sql::refusal::outcome_unknown, "no answer from " + id, sql::transaction_state::idle);
+        return outcome::answered;
+    }
+    if (reply->ok()) {
+        if (reply->position) {
+            run.session.last_commit = reply->position;
+            backends.note_commit(backend, held->sent_at, reply->position);
+        }
+        out = *reply;
+        return outcome::answered;
+    }
+    const auto why = reply->why();
+    if (why == sql::refusal::not_primary) {
+        backends.note_not_primary(backend);
+    }
+    if (why == sql::refusal::no_such_prepared_statement) {
+        held->connection->close();
+    }
+    if (!sql::server_did_not_run(why)) {
+        log_decision(event::outcome_unknown, run, id, sql::to_string(why));
+        out = refused(why == sql::refusal::malformed ? sql::refusal::outcome_unknown : why, reply->error_text(),
+                      sql::transaction_state::idle);
+        return outcome::answered;
+    }
+    if (why == sql::refusal::not_primary && refused_twice(pool_request, id)) {
+        out = refused_for_now("the primary refuses its lead", not_primary_retry_after);
+        return outcome::answered;
+    }
+    log_decision(event::statement_retried, run, id, sql::to_string(why));
+    if (why == sql::refusal::overloaded || boot_clock::now() >= run.until()) {
+        out = refused_for_now("server busy", std::chrono::milliseconds{50});
+        return outcome::answered;
+    }
+    return outcome::retry;
+}
+
+} // namespace cornellever::session
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -19,25 +19,25 @@
 #include "cornellever/routing/model.hpp"
 #include "cornellever/routing/servers_by_service.hpp"
 #include "cornellever/routing/service_pool.hpp"
+#include "cornellever/session/active_session.hpp"
 #include "cornellever/session/caller.hpp"
-#include "cornellever/session/conversation.hpp"
+#include "cornellever/session/connection_ownership.hpp"
 #include "cornellever/session/operation_limits.hpp"
-#include "cornellever/session/ownership.hpp"
 #include "cornellever/session/primary_paths.hpp"
 #include "cornellever/session/relay.hpp"
 #include "cornellever/session/statement_engine.hpp"
 
 namespace cornellever::session {
 
-/// The furthest position that a server named while it led.
-struct told_log {
+/// The furthest log position that a server reported while it was the primary.
+struct reported_position {
     std::string server;
     sql::log_position furthest;
 };
 
-/// The traffic side of a proxy that serves statement sessions: the
-/// configuration in force, the pools, and the open sessions.
-/// Used from the traffic thread only.
+/// The data plane of a proxy: the configuration in force, a connection pool for
+/// each service, and the open sessions. Sessions are executed at this proxy or
+/// relayed to another one. Used from the traffic thread only.
 template <routing::link_connector Connector>
 class traffic {
 public:
@@ -52,60 +52,65 @@
         , m_data_center{std::move(data_center)}
         , m_gate{lease}
         , m_engine{m_counters}
-        , m_configuration_due{m_executor, configuration_limit} {}
+        , m_configuration_due{m_executor, max_configuration_wait} {}
 
-    /// Takes a newer configuration; an older or equal one is ignored.
+    /// Applies a newer configuration; an older or equal one is ignored.
     void update(routing::configuration config);
 
-    /// Takes the registered backend servers.
+    /// Applies the registered backend servers; an older registry is ignored.
     void update(routing::registry servers);
 
-    /// The configuration at hand, or an older one, was the newest at `at`.
-    void prove_configuration(boot_clock::time_point at) { m_gate.confirm_current(at); }
+    /// The configuration in force, or an older one, was confirmed current at
+    /// `at`. Extends the configuration lease.
+    void confirm_configuration(boot_clock::time_point at) { m_gate.confirm_current(at); }
 
-    /// The proxies that share each server's connections, this one among them;
-    /// none while they are not known yet. `complete` is whether these are known
-    /// to be all.
-    void set_proxies(std::vector<proxy_place> proxies, bool complete = true);
+    /// Sets the proxies that share each server's connections, including this
+    /// one; empty while they are not known yet. `complete` is whether the list
+    /// is known to contain all of them.
+    void set_proxies(std::vector<proxy_node> proxies, bool complete = true);
 
-    /// Has operations of accounts counted from now on.
-    void keep_limits(operation_limits how) { m_limits = std::move(how); }
+    /// Turns rate limiting of accounts on.
+    void set_operation_limits(operation_limits how) { m_limits = std::move(how); }
 
-    /// Another proxy heard the primary of a service at `heard_at`.
-    void note_path(const std::string& service, const proxy_place& through, boot_clock::time_point heard_at) {
-        m_paths.note(service, through, heard_at);
+    /// Records that `peer` received an answer of the service's primary at
+    /// `last_contact`.
+    void record_primary_path(const std::string& service, const proxy_node& peer, boot_clock::time_point last_contact) {
+        m_paths.record_contact(service, peer, last_contact);
     }
 
-    /// Another proxy knows how far a primary's log had come.
-    void note_reported_position(const std::string& service, told_log what);
+    /// Records the log position of a primary that another proxy reported.
+    void note_reported_position(const std::string& service, reported_position what);
 
-    /// Housekeeping of the pools and of sessions whose path was cut.
+    /// Periodic maintenance of the pools, and of sessions whose path to the
+    /// primary is cut.
     void tick() {
-        watch_paths();
+        update_paths();
         for (auto& [name, backends] : m_pools) {
             backends->tick();
         }
-        close_cut_off();
+        close_relayed_without_primary();
     }
 
     /// Serves one caller until its session ends.
     template <caller_channel Caller>
     asio::awaitable<void> serve(Caller caller);
 
-    /// Whether callers can be served: a configuration is known.
+    /// Whether a configuration is known, which serving callers requires.
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
 
-    /// From now on sessions end behind their next answer outside a transaction.
-    void close_answered() { m_closing = true; }
+    /// From now on, sessions are closed after their next reply outside a
+    /// transaction.
+    void close_after_answer() { m_close_after_answer = true; }
 
-    /// Ends the sessions that rest; later ones end as they come to rest.
-    void close_resting();
+    /// Closes all idle sessions; from now on, others are closed once idle.
+    void close_idle_sessions();
 
-    /// Ends the sessions whose callers rest inside a transaction.
-    void close_transactions();
+    /// Closes the sessions that are idle in a transaction.
+    void close_idle_in_transaction();
 
-    /// From now on open transactions are ended too.
-    void end_transactions() { m_ending_transactions = true; }
+    /// From now on, open transactions are rolled back at their next statement,
+    /// unless it is the commit.
+    void abort_transactions() { m_abort_transactions = true; }
 
     [[nodiscard]] std::size_t sessions() const noexcept { return m_sessions.size(); }
     [[nodiscard]] const routing::configuration& config() const noexcept { return m_config; }
@@ -114,81 +119,81 @@
     [[nodiscard]] const traffic_counters& counters() const noexcept { return m_counters; }
     [[nodiscard]] std::map<std::string, std::unique_ptr<pool>, std::less<>>& pools() noexcept { return m_pools; }
 
-    /// The pool of a service, made when it is first asked for.
+    /// The pool of a service, created on first use.
     [[nodiscard]] pool& pool_for(const std::string& service);
 
 private:
     using transaction = typename engine::transaction;
-    using conversation = session::conversation<Connector>;
-    using part_elsewhere = relayed_part<typename Connector::relay>;
+    using active_session = session::active_session<Connector>;
+    using peer_session = session_at_peer<typename Connector::relay>;
 
-    void share_servers();
+    void update_pools();
     [[nodiscard]] bool owns(const std::string& database);
     asio::awaitable<void> await_configuration();
     asio::awaitable<void> await_proxies();
-    [[nodiscard]] const ownership& share_of(const std::string& service);
-    void share_connections_anew();
-    [[nodiscard]] std::vector<proxy_place> ways_round(const std::string& database, std::uint64_t session) const;
-    void watch_paths();
-    void close_cut_off();
-    void place_session(conversation& with);
-    [[nodiscard]] bool doubted(const part_elsewhere& part) const;
-    [[nodiscard]] std::uint64_t turn_of(const conversation& with) const;
-    [[nodiscard]] std::vector<proxy_place> peers_for(const conversation& with);
-    asio::awaitable<bool> reach_peer(conversation& with);
-    [[nodiscard]] std::optional<sql::reply> note_for_peer(conversation& with, const sql::request& asked);
-    static sql::reply after_failure(part_elsewhere& part, const sql::request& asked);
-    static void pass_on(part_elsewhere& part, const sql::request& asked);
-    [[nodiscard]] static bool writes(const conversation& with, const sql::request& asked);
-    asio::awaitable<routing::link_reply> run_at_peer(conversation& with, const sql::request& asked,
-                                                     boot_clock::time_point until);
-    [[nodiscard]] static bool may_run_again(const conversation& with, const sql::request& asked,
-                                            routing::link_failure why);
-    asio::awaitable<sql::reply> relay(conversation& with, const sql::request& asked);
-    asio::awaitable<sql::reply> run_here(conversation& with, const sql::request& asked);
-    asio::awaitable<sql::reply> answer_where_placed(conversation& with, const sql::request& asked);
-    [[nodiscard]] std::optional<sql::statement_error> refusal_of(const session_opening& opening,
-                                                                 std::string& reason) const;
+    [[nodiscard]] const connection_ownership& ownership_of(const std::string& service);
+    void update_connection_budgets();
+    [[nodiscard]] std::vector<proxy_node> detour_peers(const std::string& database, std::uint64_t session) const;
+    void update_paths();
+    void close_relayed_without_primary();
+    void choose_site(active_session& active);
+    [[nodiscard]] bool peer_suspected(const peer_session& at_peer) const;
+    [[nodiscard]] std::uint64_t spreading_key(const active_session& active) const;
+    [[nodiscard]] std::vector<proxy_node> candidate_peers(const active_session& active);
+    asio::awaitable<bool> open_at_peer(active_session& active);
+    [[nodiscard]] std::optional<sql::reply> answer_locally(active_session& active, const sql::request& request);
+    static sql::reply answer_after_failure(peer_session& at_peer, const sql::request& request);
+    static void pipeline(peer_session& at_peer, const sql::request& request);
+    [[nodiscard]] static bool writes(const active_session& active, const sql::request& request);
+    asio::awaitable<routing::link_reply> execute_at_peer(active_session& active, const sql::request& request,
+                                                         boot_clock::time_point until);
+    [[nodiscard]] static bool may_retry(const active_session& active, const sql::request& request,
+                                        routing::link_failure why);
+    asio::awaitable<sql::reply> relay(active_session& active, const sql::request& request);
+    asio::awaitable<sql::reply> execute_locally(active_session& active, const sql::request& request);
+    asio::awaitable<sql::reply> answer_at_site(active_session& active, const sql::request& request);
+    [[nodiscard]] std::optional<sql::statement_error> opening_refusal(const session_opening& opening,
+                                                                      std::string& reason) const;
     [[nodiscard]] bool refuse_opening(const session_opening& opening, auto& caller);
-    [[nodiscard]] std::optional<sql::reply> refuse_key(conversation& with, const sql::request& asked);
-    [[nodiscard]] static bool starts_operation(const conversation& with, const sql::request& asked);
-    asio::awaitable<std::optional<sql::reply>> refuse_over_limit(conversation& with, const sql::request& asked);
+    [[nodiscard]] std::optional<sql::reply> refuse_revoked_key(active_session& active, const sql::request& request);
+    [[nodiscard]] static bool starts_operation(const active_session& active, const sql::request& request);
+    asio::awaitable<std::optional<sql::reply>> refuse_over_limit(active_session& active, const sql::request& request);
     asio::awaitable<void> await_version(std::uint64_t version);
     void count(const sql::reply& out, boot_clock::time_point arrival);
-    asio::awaitable<sql::reply> answer(conversation& with, const sql::request& asked);
-    asio::awaitable<sql::reply> run(conversation& with, const sql::request& asked);
-    sql::reply begin(conversation& with, bool read_only);
-    sql::reply roll_back(conversation& with);
-    sql::reply prepare(conversation& with, const sql::statement& what);
-    sql::reply deallocate(conversation& with, const sql::statement& what);
-    [[nodiscard]] static sql::transaction_state state_of(const conversation& with);
-    [[nodiscard]] boot_clock::time_point silence_limit(const conversation& with) const;
-
-    /// A session without a transaction may rest as long as it likes.
-    static constexpr std::chrono::hours resting_limit{24};
-    /// A connection is taken by the VM itself, in a round trip.
-    static constexpr std::chrono::milliseconds owner_limit{100};
-    /// Other proxies that are tried for one operation: its caller waits
-    /// meanwhile, and aims at 120 ms.
-    static constexpr std::size_t peer_tries = 2;
-    /// One that took no session, or ended it, comes last for so long. A process
-    /// that was stopped is back sooner, but the others serve meanwhile; one
-    /// behind a cut path costs a caller `owner_limit` at each try.
-    static constexpr std::chrono::milliseconds unreached_for{5000};
-    /// From the start of the process: twice what the slowest of 88 small VMs
-    /// took to load 1,346 databases after all had been started together
-    /// (0.48 s). Callers give up an opening after 2 s.
-    static constexpr std::chrono::milliseconds configuration_limit{1000};
-    /// A caller gives up an opening after 2 s.
-    static constexpr std::chrono::milliseconds proxies_limit{1000};
-    /// A configuration comes to all proxies within several heartbeats.
-    static constexpr std::chrono::milliseconds version_limit{300};
-    /// A primary that others hear and this proxy does not, for so long, is cut
-    /// off from it: it is asked five times a second at least, and a connection
-    /// that the network gave up shows in 0.7 s.
-    static constexpr std::chrono::milliseconds cut_after{600};
-    /// The owner answers by the statement's timeout itself.
-    static constexpr std::chrono::milliseconds owner_slack{300};
+    asio::awaitable<sql::reply> answer(active_session& active, const sql::request& request);
+    asio::awaitable<sql::reply> run(active_session& active, const sql::request& request);
+    sql::reply begin(active_session& active, bool read_only);
+    sql::reply roll_back(active_session& active);
+    sql::reply prepare(active_session& active, const sql::statement& what);
+    sql::reply deallocate(active_session& active, const sql::statement& what);
+    [[nodiscard]] static sql::transaction_state state_of(const active_session& active);
+    [[nodiscard]] boot_clock::time_point request_deadline(const active_session& active) const;
+
+    /// A session without an open transaction may stay idle practically forever.
+    static constexpr std::chrono::hours idle_session_limit{24};
+    /// The peer's kernel accepts a connection within a round trip.
+    static constexpr std::chrono::milliseconds peer_connect_timeout{100};
+    /// Peers that are tried for one operation. Its caller waits meanwhile, with
+    /// a target latency of 120 ms.
+    static constexpr std::size_t max_peer_attempts = 2;
+    /// A peer that refused or lost a session is tried last for this long. A
+    /// process that was stopped restarts sooner, but other peers serve meanwhile.
+    /// A peer behind a cut path costs a caller `peer_connect_timeout` per try.
+    static constexpr std::chrono::milliseconds peer_backoff{5000};
+    /// Measured from the start of the process. Twice the time that the slowest
+    /// of 88 small VMs took to load 1,346 databases when all were started
+    /// together (0.48 s). Callers give up opening a session after 2 s.
+    static constexpr std::chrono::milliseconds max_configuration_wait{1000};
+    /// Callers give up opening a session after 2 s.
+    static constexpr std::chrono::milliseconds max_membership_wait{1000};
+    /// A configuration reaches all proxies within several heartbeats.
+    static constexpr std::chrono::milliseconds max_version_wait{300};
+    /// The path to a primary counts as cut after this time without an answer, if
+    /// peers still reach the primary. The primary is polled at least five times a
+    /// second, and a connection that the network dropped is detected in 0.7 s.
+    static constexpr std::chrono::milliseconds primary_silence_limit{600};
+    /// Added to the statement's timeout, which the peer enforces itself.
+    static constexpr std::chrono::milliseconds peer_reply_slack{300};
 
     asio::any_io_executor m_executor;
     Connector& m_connector;
@@ -196,26 +201,27 @@
     std::string m_data_center;
     routing::configuration m_config;
     routing::registry m_registry;
-    std::vector<proxy_place> m_proxies;
+    std::vector<proxy_node> m_proxies;
     primary_paths m_paths;
-    /// Proxies that took no session or ended it, and when.
-    std::map<std::string, boot_clock::time_point, std::less<>> m_unreached;
-    /// By service, worked out when first asked for.
-    std::map<std::string, ownership, std::less<>> m_shares;
+    /// When a proxy last refused or lost a session, by its name.
+    std::map<std::string, boot_clock::time_point, std::less<>> m_peer_failures;
+    /// By service; computed on first use.
+    std::map<std::string, connection_ownership, std::less<>> m_ownership;
     traffic_counters m_counters;
     accounts::authorizer m_gate;
     operation_limits m_limits;
     engine m_engine;
-    /// Ends when a configuration is known, or is not expected any more.
+    /// Expires after `max_configuration_wait`; cancelled when a configuration
+    /// arrives.
     asio::steady_timer m_configuration_due;
     std::map<std::string, std::unique_ptr<pool>, std::less<>> m_pools;
-    /// By service, for pools that are not made yet.
-    std::map<std::string, told_log, std::less<>> m_told_logs;
-    std::set<conversation*> m_sessions;
-    std::uint64_t m_last_session{0};
-    bool m_closing{false};
-    bool m_closing_resting{false};
-    bool m_ending_transactions{false};
+    /// By service, for pools that are not created yet.
+    std::map<std::string, reported_position, std::less<>> m_reported_positions;
+    std::set<active_session*> m_sessions;
+    std::uint64_t m_last_session_id{0};
+    bool m_close_after_answer{false};
+    bool m_close_idle_sessions{false};
+    bool m_abort_transactions{false};
 };
 
 } // namespace cornellever::session
--- a/src/cornellever/session/traffic_counters.hpp
+++ b/src/cornellever/session/traffic_counters.hpp
@@ -8,9 +8,10 @@
 
 namespace cornellever::session {
 
-/// What the traffic side counts, for the metrics page and the state dump.
+/// Counters and latencies of served sessions, for metrics and state dumps.
 struct traffic_counters {
-    static constexpr std::size_t refusals = 13;
+    /// Number of values of `sql::refusal`.
+    static constexpr std::size_t refusal_kinds = 13;
 
     std::uint64_t sessions_opened{0};
     std::uint64_t statements_served{0};
@@ -18,13 +19,15 @@
     std::uint64_t reads_on_primary{0};
     std::uint64_t statements_retried{0};
     std::uint64_t transactions_opened{0};
-    std::uint64_t transactions_undone{0};
-    /// Operations beyond their accounts' limits, and those of which nobody knew.
-    std::uint64_t over_limit{0};
-    std::uint64_t limit_unknown{0};
-    std::array<std::uint64_t, refusals> refused{};
-    metrics::latency served_in;
-    metrics::latency waited_for_connection;
+    std::uint64_t transactions_rolled_back{0};
+    /// Operations refused because the account's rate limit was used up, and
+    /// those refused because no coordinator of the limit answered.
+    std::uint64_t over_limit_refusals{0};
+    std::uint64_t unknown_limit_refusals{0};
+    /// Indexed by `sql::refusal`.
+    std::array<std::uint64_t, refusal_kinds> refused{};
+    metrics::latency statement_latency;
+    metrics::latency connection_wait;
 
     void count_refusal(sql::refusal why) { ++refused.at(static_cast<std::size_t>(why)); }
 };
--- a/src/cornellever/session/traffic_sharing.ipp
+++ b/src/cornellever/session/traffic_sharing.ipp
@@ -1,86 +1,90 @@
 #pragma once
 
-// Sharing scarce connections with other proxies.
+// Connection ownership, and detours round cut paths to primaries.
 
 namespace cornellever::session {
 
 template <routing::link_connector Connector>
-void traffic<Connector>::set_proxies(std::vector<proxy_place> proxies, bool complete) {
+void traffic<Connector>::set_proxies(std::vector<proxy_node> proxies, bool complete) {
     m_proxies = std::move(proxies);
     if (m_limits.set_proxies) {
         m_limits.set_proxies(m_proxies, complete);
     }
-    share_connections_anew();
+    update_connection_budgets();
 }
 
 template <routing::link_connector Connector>
-const ownership& traffic<Connector>::share_of(const std::string& service) {
-    auto [at, missing] = m_shares.try_emplace(service);
+const connection_ownership& traffic<Connector>::ownership_of(const std::string& service) {
+    auto [at, missing] = m_ownership.try_emplace(service);
     const auto limits = m_config.services.find(service);
     if (missing && limits != m_config.services.end() && !m_proxies.empty()) {
-        at->second = share_connections(service, limits->second.max_connections, m_proxies);
+        at->second = allocate_connections(service, limits->second.max_connections, m_proxies);
     }
     return at->second;
 }
 
 template <routing::link_connector Connector>
-void traffic<Connector>::share_connections_anew() {
-    m_shares.clear();
+void traffic<Connector>::update_connection_budgets() {
+    m_ownership.clear();
     for (auto& [name, backends] : m_pools) {
-        const auto& shared = share_of(name);
-        // One that was an owner until now still serves the sessions it has.
-        const auto sharers = shared.owners.empty() ? m_proxies.size() : shared.owners.size();
-        const bool owned = shared.owns(m_name);
-        backends->set_budget(owned ? shared.connections_each : 1, sharers, owned, owned ? shared.each_under_load : 1);
+        const auto& ownership = ownership_of(name);
+        // A proxy that has ceased to be an owner still serves its open sessions.
+        const auto owner_count = ownership.owners.empty() ? m_proxies.size() : ownership.owners.size();
+        const bool is_owner = ownership.owns(m_name);
+        backends->set_budget(is_owner ? ownership.connections_each : 1, owner_count, is_owner,
+                             is_owner ? ownership.connections_each_under_load : 1);
     }
 }
 
 template <routing::link_connector Connector>
 bool traffic<Connector>::owns(const std::string& database) {
     const auto route = m_config.routes.find(database);
-    return route == m_config.routes.end() || share_of(route->second.service).owns(m_name);
+    return route == m_config.routes.end() || ownership_of(route->second.service).owns(m_name);
 }
 
-/// A proxy that has just started does not know yet who owns connections. If it
-/// opened its own meanwhile, after an outage of all proxies each server would
-/// be full before its owners came.
+/// Waits until the proxies of the cluster are known. A proxy that has just
+/// started does not know the connection owners yet. If it opened connections of
+/// its own meanwhile, after an outage of all proxies the servers' connection
+/// limits would be exhausted before the owners connect.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_proxies() {
-    const auto until = boot_clock::now() + proxies_limit;
+    const auto until = boot_clock::now() + max_membership_wait;
     while (m_proxies.empty() && boot_clock::now() < until) {
         co_await sleep_for(std::chrono::milliseconds{20});
     }
 }
 
-/// The proxies that reach the primary of a database while this one does not.
+/// The peers that reach the primary of a database while this proxy does not.
 template <routing::link_connector Connector>
-std::vector<proxy_place> traffic<Connector>::ways_round(const std::string& database, std::uint64_t session) const {
+std::vector<proxy_node> traffic<Connector>::detour_peers(const std::string& database, std::uint64_t session) const {
     const auto route = m_config.routes.find(database);
     const auto found = route == m_config.routes.end() ? m_pools.end() : m_pools.find(route->second.service);
-    if (found == m_pools.end() || !found->second->primary_unreachable_for(cut_after)) {
+    if (found == m_pools.end() || !found->second->primary_unreachable_for(primary_silence_limit)) {
         return {};
     }
-    return m_paths.through(found->first, session, boot_clock::now(), found->second->observation().last_contact_at);
+    return m_paths.peers_reaching(found->first, session, boot_clock::now(),
+                                  found->second->observation().last_contact_at);
 }
 
-/// Tells each pool whether its primary is lost to this proxy alone.
+/// Updates in each pool whether the path to its primary is cut: whether peers
+/// reach the primary while this proxy does not.
 template <routing::link_connector Connector>
-void traffic<Connector>::watch_paths() {
+void traffic<Connector>::update_paths() {
     const auto now = boot_clock::now();
     for (auto& [name, backends] : m_pools) {
-        const bool silent = backends->primary_unreachable_for(cut_after);
+        const bool silent = backends->primary_unreachable_for(primary_silence_limit);
         backends->set_path_cut(silent &&
-                               !m_paths.through(name, 0, now, backends->observation().last_contact_at).empty());
+                               !m_paths.peers_reaching(name, 0, now, backends->observation().last_contact_at).empty());
     }
 }
 
-/// Ends relayed sessions at rest whose path to the primary was cut here: the
-/// proxies that relay them have others to try.
+/// Closes idle sessions relayed to this proxy whose primary it does not reach.
+/// The relaying proxies can try other peers.
 template <routing::link_connector Connector>
-void traffic<Connector>::close_cut_off() {
+void traffic<Connector>::close_relayed_without_primary() {
     for (auto* item : m_sessions) {
-        if (item->relayed && item->status.resting && !ways_round(item->state.database, 0).empty()) {
-            item->status.close_if_quiet();
+        if (item->relayed && item->status.is_idle && !detour_peers(item->state.database, 0).empty()) {
+            item->status.close_if_no_input();
         }
     }
 }
--- a/tests/unit/routing.cpp
+++ b/tests/unit/routing.cpp
@@ -6,8 +6,8 @@
 #include "cornellever/routing/connection_budget.hpp"
 #include "cornellever/routing/placement.hpp"
 #include "cornellever/routing/wait_queue.hpp"
-#include "cornellever/session/connection_memory.hpp"
-#include "cornellever/session/ownership.hpp"
+#include "cornellever/session/connection_ownership.hpp"
+#include "cornellever/session/connection_session_state.hpp"
 #include "cornellever/session/planned_stop.hpp"
 #include "cornellever/session/serve_settings.hpp"
 
@@ -26,8 +26,8 @@
             .statement_time = std::chrono::duration<double, std::milli>{statement_time_ms}};
 }
 
-std::vector<session::proxy_place> make_proxies(int count) {
-    std::vector<session::proxy_place> out;
+std::vector<session::proxy_node> make_proxies(int count) {
+    std::vector<session::proxy_node> out;
     for (int i = 0; i < count; ++i) {
         out.push_back({"proxy-" + std::to_string(i), i % 2 == 0 ? "here" : "there", {}});
     }
@@ -86,7 +86,7 @@
         for (std::size_t proxies = 1; proxies <= limit / 2; ++proxies) {
             BOOST_TEST(2 * proxies * routing::connections_per_proxy(limit, proxies) <= limit);
         }
-        const auto many = session::share_connections("stock", limit, make_proxies(88));
+        const auto many = session::allocate_connections("stock", limit, make_proxies(88));
         BOOST_TEST(2 * many.owners.size() * many.connections_each <= limit);
     }
 }
@@ -179,7 +179,7 @@
 
 BOOST_AUTO_TEST_CASE(values_that_the_connection_already_holds_are_not_sent) {
     session::session_state state{.id = 1, .values = {{"a", "1"}, {"b", "2"}}};
-    session::connection_memory memory;
+    session::connection_session_state memory;
     BOOST_TEST(session::plan_replay(state, memory, nullptr).size() == 2U);
     BOOST_TEST(session::plan_replay(state, memory, nullptr).empty());
     state.values["b"] = "3";
@@ -191,7 +191,7 @@
     session::session_state first{.id = 1, .values = {{"a", "1"}}};
     session::session_state second{.id = 2, .values = {{"b", "1"}}};
     const session::prepared_statement shape{sql::access::read, "q1"};
-    session::connection_memory memory;
+    session::connection_session_state memory;
     BOOST_TEST(session::plan_replay(first, memory, &shape).size() == 2U);
     const auto plan = session::plan_replay(second, memory, &shape);
     BOOST_TEST_REQUIRE(plan.size() == 3U);
@@ -214,16 +214,16 @@
 BOOST_AUTO_TEST_CASE(sessions_are_closed_after_the_load_balancer_has_noticed_the_stop) {
     const boot_clock::time_point begun{1h};
     const session::planned_stop stop{begun, 6s};
-    BOOST_TEST(!stop.at(begun + 2s, 5).close_answered);
-    BOOST_TEST(stop.at(begun + 2300ms, 5).close_answered);
-    BOOST_TEST(!stop.at(begun + 2400ms, 5).close_resting);
-    BOOST_TEST(stop.at(begun + 2600ms, 5).close_resting);
-    BOOST_TEST(!stop.at(begun + 3500ms, 5).close_transactions);
-    BOOST_TEST(stop.at(begun + 3700ms, 5).close_transactions);
+    BOOST_TEST(!stop.at(begun + 2s, 5).close_after_answer);
+    BOOST_TEST(stop.at(begun + 2300ms, 5).close_after_answer);
+    BOOST_TEST(!stop.at(begun + 2400ms, 5).close_idle_sessions);
+    BOOST_TEST(stop.at(begun + 2600ms, 5).close_idle_sessions);
+    BOOST_TEST(!stop.at(begun + 3500ms, 5).close_idle_in_transaction);
+    BOOST_TEST(stop.at(begun + 3700ms, 5).close_idle_in_transaction);
     BOOST_TEST(!stop.at(begun + 2200ms, 0).exit);
     BOOST_TEST(stop.at(begun + 2400ms, 0).exit);
-    BOOST_TEST(!stop.at(begun + 2900ms, 5).end_transactions);
-    BOOST_TEST(stop.at(begun + 3s, 5).end_transactions);
+    BOOST_TEST(!stop.at(begun + 2900ms, 5).abort_transactions);
+    BOOST_TEST(stop.at(begun + 3s, 5).abort_transactions);
     BOOST_TEST(!stop.at(begun + 5s, 5).exit);
     BOOST_TEST(stop.at(begun + 5200ms, 5).exit);
 }
