--- a/src/cornellever/proxy/backend_links.cpp
+++ b/src/cornellever/proxy/backend_connections.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/proxy/backend_links.hpp"
+#include "cornellever/proxy/backend_connections.hpp"
 
 #include <algorithm>
 #include <vector>
--- a/src/cornellever/proxy/confirmer.hpp
+++ b/src/cornellever/proxy/confirmer.hpp
@@ -10,7 +10,7 @@
 
 #include "cornellever/core/asio.hpp"
 #include "cornellever/core/error.hpp"
-#include "cornellever/proxy/write_mark.hpp"
+#include "cornellever/proxy/term_position.hpp"
 #include "cornellever/rpc/channel.hpp"
 
 namespace cornellever::proxy {
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -10,7 +10,7 @@
 #include "cornellever/core/asio.hpp"
 #include "cornellever/core/chart.hpp"
 #include "cornellever/proxy/config_follower.hpp"
-#include "cornellever/proxy/primary_keeper.hpp"
+#include "cornellever/proxy/primary_monitor.hpp"
 #include "cornellever/proxy/router.hpp"
 #include "cornellever/proxy/settings.hpp"
 #include "cornellever/proxy/topology.hpp"
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -15,7 +15,7 @@
 #include "cornellever/core/error.hpp"
 #include "cornellever/core/quorum.hpp"
 #include "cornellever/proxy/group_record.hpp"
-#include "cornellever/proxy/write_mark.hpp"
+#include "cornellever/proxy/term_position.hpp"
 
 namespace cornellever::proxy {
 
--- a/src/cornellever/proxy/planned_stop.cpp
+++ b/src/cornellever/proxy/graceful_shutdown.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/proxy/planned_stop.hpp"
+#include "cornellever/proxy/graceful_shutdown.hpp"
 
 #include <string>
 
--- a/src/cornellever/proxy/main.cpp
+++ b/src/cornellever/proxy/main.cpp
@@ -7,7 +7,7 @@
 #include "cornellever/core/role.hpp"
 #include "cornellever/proxy/charts.hpp"
 #include "cornellever/proxy/control.hpp"
-#include "cornellever/proxy/planned_stop.hpp"
+#include "cornellever/proxy/graceful_shutdown.hpp"
 #include "cornellever/proxy/router.hpp"
 #include "cornellever/proxy/settings.hpp"
 
--- a/src/cornellever/proxy/suspicion.cpp
+++ b/src/cornellever/proxy/primary_health.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/proxy/suspicion.hpp"
+#include "cornellever/proxy/primary_health.hpp"
 
 #include <algorithm>
 
--- a/src/cornellever/proxy/primary_keeper.cpp
+++ b/src/cornellever/proxy/primary_monitor.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/proxy/primary_keeper.hpp"
+#include "cornellever/proxy/primary_monitor.hpp"
 
 #include <algorithm>
 #include <random>
--- a/src/cornellever/proxy/primary_keeper.hpp
+++ b/src/cornellever/proxy/primary_monitor.hpp
@@ -14,7 +14,7 @@
 #include "cornellever/proxy/backoff.hpp"
 #include "cornellever/proxy/failover.hpp"
 #include "cornellever/proxy/platform_store.hpp"
-#include "cornellever/proxy/suspicion.hpp"
+#include "cornellever/proxy/primary_health.hpp"
 #include "cornellever/proxy/topology.hpp"
 
 namespace cornellever::proxy {
--- a/src/cornellever/proxy/read_path.hpp
+++ b/src/cornellever/proxy/read_path.hpp
@@ -5,7 +5,7 @@
 
 #include "cornellever/config/model.hpp"
 #include "cornellever/proxy/answer.hpp"
-#include "cornellever/proxy/backend_links.hpp"
+#include "cornellever/proxy/backend_connections.hpp"
 
 namespace cornellever::proxy {
 
--- a/src/cornellever/proxy/request_record.hpp
+++ b/src/cornellever/proxy/request_record.hpp
@@ -8,7 +8,7 @@
 
 #include <jsoncpp/json/value.h>
 
-#include "cornellever/proxy/backend_links.hpp"
+#include "cornellever/proxy/backend_connections.hpp"
 
 namespace cornellever::proxy {
 
--- a/src/cornellever/proxy/router.hpp
+++ b/src/cornellever/proxy/router.hpp
@@ -9,7 +9,7 @@
 #include "cornellever/config/model.hpp"
 #include "cornellever/metrics/latency.hpp"
 #include "cornellever/proxy/answer.hpp"
-#include "cornellever/proxy/backend_links.hpp"
+#include "cornellever/proxy/backend_connections.hpp"
 #include "cornellever/proxy/read_path.hpp"
 #include "cornellever/proxy/transaction_table.hpp"
 #include "cornellever/proxy/write_path.hpp"
--- a/src/cornellever/proxy/session_token.hpp
+++ b/src/cornellever/proxy/session_token.hpp
@@ -7,7 +7,7 @@
 #include <jsoncpp/json/value.h>
 
 #include "cornellever/core/error.hpp"
-#include "cornellever/proxy/write_mark.hpp"
+#include "cornellever/proxy/term_position.hpp"
 
 namespace cornellever::proxy {
 
--- a/src/cornellever/proxy/topology.hpp
+++ b/src/cornellever/proxy/topology.hpp
@@ -13,7 +13,7 @@
 
 #include "cornellever/config/model.hpp"
 #include "cornellever/core/asio.hpp"
-#include "cornellever/proxy/write_mark.hpp"
+#include "cornellever/proxy/term_position.hpp"
 
 namespace cornellever::proxy {
 
--- a/src/cornellever/proxy/transaction_table.hpp
+++ b/src/cornellever/proxy/transaction_table.hpp
@@ -6,7 +6,7 @@
 
 #include "cornellever/config/model.hpp"
 #include "cornellever/proxy/answer.hpp"
-#include "cornellever/proxy/backend_links.hpp"
+#include "cornellever/proxy/backend_connections.hpp"
 #include "cornellever/proxy/write_path.hpp"
 #include "cornellever/rpc/server.hpp"
 
--- a/src/cornellever/proxy/write_path.hpp
+++ b/src/cornellever/proxy/write_path.hpp
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "cornellever/proxy/answer.hpp"
-#include "cornellever/proxy/backend_links.hpp"
+#include "cornellever/proxy/backend_connections.hpp"
 #include "cornellever/proxy/request_record.hpp"
 
 namespace cornellever::proxy {
--- a/tests/unit/suspicion.cpp
+++ b/tests/unit/primary_health.cpp
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "cornellever/proxy/suspicion.hpp"
+#include "cornellever/proxy/primary_health.hpp"
 
 using namespace cornellever;
 using namespace cornellever::proxy;
--- a/tests/unit/transactions.cpp
+++ b/tests/unit/transactions.cpp
@@ -1,6 +1,6 @@
 #include <boost/test/unit_test.hpp>
 
-#include "cornellever/proxy/backend_links.hpp"
+#include "cornellever/proxy/backend_connections.hpp"
 #include "cornellever/proxy/transaction_table.hpp"
 #include "fake_backend.hpp"
 #include "fake_peer.hpp"
