--- a/tests/unit/backoff.cpp
+++ b/tests/unit/backoff.cpp
@@ -5,11 +5,11 @@
 using namespace cornellever::proxy;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(pauses_double_up_to_the_longest_and_start_again) {
+BOOST_AUTO_TEST_CASE(pauses_double_up_to_the_maximum_until_reset) {
     backoff subject{100ms, 400ms, 7};
-    for (const auto whole : {100ms, 200ms, 400ms, 400ms}) {
+    for (const auto full_pause : {100ms, 200ms, 400ms, 400ms}) {
         const auto pause = subject.next();
-        BOOST_TEST((pause >= whole / 2 && pause <= whole));
+        BOOST_TEST((pause >= full_pause / 2 && pause <= full_pause));
     }
     subject.reset();
     BOOST_TEST((subject.next() <= 100ms));
