--- a/src/cornellever/proxy/charts.hpp
+++ b/src/cornellever/proxy/charts.hpp
@@ -4,8 +4,7 @@
 
 namespace cornellever::proxy::charts {
 
-/// The text of charts/failover.ini, compiled into the binary: entry VMs
-/// have no disk to read it from.
+/// The text of charts/failover.ini. Compiled into the binary because entry VMs have no disk to read it from.
 extern const std::string_view failover;
 
 /// The text of charts/drain.ini.
