--- a/src/cornellever/proxy/group_record.cpp
+++ b/src/cornellever/proxy/group_record.cpp
@@ -9,7 +9,7 @@
 
 } // namespace
 
-std::string group_row(std::string_view database) {
+std::string group_record_key(std::string_view database) {
     return "group/" + std::string{database};
 }
 
--- a/src/cornellever/proxy/group_record.hpp
+++ b/src/cornellever/proxy/group_record.hpp
@@ -10,19 +10,19 @@
 
 namespace cornellever::proxy {
 
-/// Where the change of a database's primary stands.
+/// Progress of a failover: a new primary is being promoted, or the recorded one is in place.
 enum class group_phase { promoting, settled };
 
-/// A database's row in the platform's table. Writing it by compare-and-set
-/// with a higher term is what allots a term: of several proxies that try,
-/// exactly one gets it, and the term then fences whoever had an older one.
+/// A database's row in the platform's table. A term is allocated by writing the row with a higher term by
+/// compare-and-set: of several proxies that try, exactly one succeeds. The term is the fencing token against holders
+/// of older terms.
 struct group_record {
     std::uint64_t term{0};
     group_phase phase{group_phase::settled};
-    /// Key of the instance that leads `term`; empty while promoting.
+    /// Key of the primary of `term`; empty while promoting.
     std::string primary;
-    /// The proxy that claimed the term, and a value unique to its claim, by
-    /// which it recognises its own write when the answer was lost.
+    /// The proxy that claimed the term, and a value unique to its claim, by which it recognises its own write if the
+    /// answer was lost.
     std::string holder;
     std::string claim;
 
@@ -30,7 +30,7 @@
 };
 
 /// The table key of the record of `database` (`service/database`).
-[[nodiscard]] std::string group_row(std::string_view database);
+[[nodiscard]] std::string group_record_key(std::string_view database);
 
 /// The record as stored.
 [[nodiscard]] Json::Value to_json(const group_record& record);
--- a/src/cornellever/proxy/platform_store.cpp
+++ b/src/cornellever/proxy/platform_store.cpp
@@ -11,15 +11,14 @@
     , m_deadline{deadline} {}
 
 asio::awaitable<result<Json::Value>> platform_store::call(std::string_view method, Json::Value params) {
-    // Failovers are rare: a fresh connection each time can never be one that
-    // went silent since the last.
-    rpc::channel link{m_executor, m_platform};
-    co_return co_await link.call(method, params, m_deadline);
+    // Failovers are rare, so each call opens a new connection: one kept since the last call could have died unnoticed.
+    rpc::channel channel{m_executor, m_platform};
+    co_return co_await channel.call(method, params, m_deadline);
 }
 
 asio::awaitable<result<versioned_record>> platform_store::read(std::string_view database) {
     Json::Value params;
-    params["key"] = group_row(database);
+    params["key"] = group_record_key(database);
     auto row = co_await call("table.get", params);
     if (!row && row.error().code == errc::not_found) {
         co_return versioned_record{};
@@ -37,7 +36,7 @@
 asio::awaitable<result<std::uint64_t>> platform_store::write(std::string_view database, const group_record& record,
                                                              std::uint64_t expected) {
     Json::Value params;
-    params["key"] = group_row(database);
+    params["key"] = group_record_key(database);
     params["value"] = to_json(record);
     params["expected_version"] = static_cast<Json::UInt64>(expected);
     auto written = co_await call("table.put", params);
--- a/src/cornellever/proxy/platform_store.hpp
+++ b/src/cornellever/proxy/platform_store.hpp
@@ -10,7 +10,7 @@
 
 namespace cornellever::proxy {
 
-/// The platform's table over RPC, as a `record_store`.
+/// Implements `record_store` on the platform's table over RPC.
 class platform_store {
 public:
     platform_store(asio::any_io_executor executor, tcp::endpoint platform, std::chrono::milliseconds deadline);
@@ -18,7 +18,7 @@
     /// See `record_store`. Errors: `unavailable`, `outcome_unknown`.
     asio::awaitable<result<versioned_record>> read(std::string_view database);
 
-    /// See `record_store`. Errors: also `conflict`.
+    /// See `record_store`. Errors: those of `read`, and `conflict`.
     asio::awaitable<result<std::uint64_t>> write(std::string_view database, const group_record& record,
                                                  std::uint64_t expected);
 
--- a/src/cornellever/proxy/request.cpp
+++ b/src/cornellever/proxy/request.cpp
@@ -52,7 +52,8 @@
     return out;
 }
 
-/// What `execute` and `begin` share: where the request goes and its terms.
+/// The fields common to `execute` and `begin`: the target database, the request's id and kind, its deadline and its
+/// session.
 template <typename Request>
 result<void> read_addressing(const Json::Value& in, Request& out) {
     return in_order(
--- a/src/cornellever/proxy/request.hpp
+++ b/src/cornellever/proxy/request.hpp
@@ -10,14 +10,14 @@
 
 namespace cornellever::proxy {
 
-/// How long a request may take when its caller does not say.
+/// Deadline of a request whose caller sets none.
 inline constexpr auto default_request_deadline = std::chrono::milliseconds{5000};
 
-/// Whether the caller declared a statement read-only. Only declared reads
-/// may go to replicas, and replicas refuse anything that would write.
+/// Whether the caller declared the statement read-only. Only declared reads may go to replicas, and replicas refuse
+/// every write.
 enum class intent { read, write };
 
-/// A caller's `execute` request, decoded and checked.
+/// A decoded and validated `execute` request.
 struct execute_request {
     std::string service;
     std::string database;
@@ -26,14 +26,14 @@
     intent mode{intent::write};
     std::string transaction;
     session_token session;
-    /// What kind of request this is, as the service's `non_repeatable` lists them.
+    /// The kind of request, matched against the service's `non_repeatable` list.
     std::string kind;
-    /// Given: the request takes effect at most once under this id.
+    /// If set, the request takes effect at most once under this id.
     std::string request_id;
     std::chrono::milliseconds deadline{default_request_deadline};
 };
 
-/// A caller's `begin` request, decoded and checked.
+/// A decoded and validated `begin` request.
 struct begin_request {
     std::string service;
     std::string database;
@@ -43,7 +43,7 @@
     std::chrono::milliseconds deadline{default_request_deadline};
 };
 
-/// A caller's `commit` or `rollback` request, decoded and checked.
+/// A decoded and validated `commit` or `rollback` request.
 struct finish_request {
     std::string transaction;
     session_token session;
--- a/src/cornellever/proxy/settings.cpp
+++ b/src/cornellever/proxy/settings.cpp
@@ -56,9 +56,9 @@
         findings.push_back(bad_address("platform", text.platform));
     }
     for (const auto& item : config::split_list(text.peers)) {
-        tcp::endpoint where;
-        if (parse_endpoint(item, where)) {
-            out.peers.push_back(where);
+        tcp::endpoint peer;
+        if (parse_endpoint(item, peer)) {
+            out.peers.push_back(peer);
         } else {
             findings.push_back(bad_address("peers", item));
         }
--- a/src/cornellever/proxy/settings.hpp
+++ b/src/cornellever/proxy/settings.hpp
@@ -8,8 +8,8 @@
 
 namespace cornellever::proxy {
 
-/// A proxy's own settings, as written: what runs where. Everything else a
-/// proxy learns from the applied configuration.
+/// A proxy's own settings as written: its name, its zone and the addresses. Everything else comes from the applied
+/// configuration.
 struct settings_text {
     std::string name;
     std::string zone;
@@ -19,7 +19,7 @@
     std::string peers;
 };
 
-/// The settings with their addresses read.
+/// The settings with their addresses parsed.
 struct settings {
     std::string name;
     std::string zone;
@@ -28,10 +28,10 @@
     std::vector<tcp::endpoint> peers;
 };
 
-/// Reads `[proxy]` of a folder of INI files into `out`; every finding.
+/// Reads `[proxy]` from a folder of INI files into `out`; returns all findings.
 [[nodiscard]] std::vector<ini::finding> read_settings(const std::string& folder, settings_text& out);
 
-/// Checks the texts and reads their addresses into `out`; every finding.
+/// Validates the texts and parses their addresses into `out`; returns all findings.
 [[nodiscard]] std::vector<ini::finding> check_settings(const settings_text& text, settings& out);
 
 } // namespace cornellever::proxy
