--- a/src/cornellever/proxy/answer.cpp
+++ b/src/cornellever/proxy/answer.cpp
@@ -31,8 +31,8 @@
     return out;
 }
 
-write_mark mark_from(const Json::Value& backend) {
-    return write_mark{rpc::uint_field(backend, "term"), rpc::uint_field(backend, "position")};
+term_position position_from(const Json::Value& backend) {
+    return term_position{rpc::uint_field(backend, "term"), rpc::uint_field(backend, "position")};
 }
 
 std::chrono::milliseconds time_left(std::chrono::steady_clock::time_point until) {
@@ -40,9 +40,10 @@
     return std::max(std::chrono::duration_cast<std::chrono::milliseconds>(left), std::chrono::milliseconds{1});
 }
 
-bool worth_retrying(const error& refusal) noexcept {
-    const bool passes = refusal.code == errc::fenced || refusal.code == errc::unavailable || refusal.code == errc::busy;
-    return passes && refusal.retry_after.count() == 0;
+bool is_retryable(const error& refusal) noexcept {
+    const bool transient =
+        refusal.code == errc::fenced || refusal.code == errc::unavailable || refusal.code == errc::busy;
+    return transient && refusal.retry_after.count() == 0;
 }
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/answer.hpp
+++ b/src/cornellever/proxy/answer.hpp
@@ -13,26 +13,24 @@
 
 using answer = asio::awaitable<result<Json::Value>>;
 
-/// The `execute` params for a backend.
+/// The parameters of a backend's `execute` call.
 [[nodiscard]] Json::Value statement_payload(const execute_request& request);
 
-/// Which instance served a request, as callers are told.
+/// Names the instance that served a request, as reported to the caller.
 [[nodiscard]] Json::Value served_by(const instance_view& target);
 
-/// A statement's rows as callers get them, with the session token.
+/// A statement's result as returned to the caller, with the session token.
 [[nodiscard]] Json::Value statement_answer(const Json::Value& backend, const session_token& token,
                                            const instance_view& target);
 
-/// The log position that a backend's answer to a write names.
-[[nodiscard]] write_mark mark_from(const Json::Value& backend);
+/// The log position reported in a backend's answer to a write.
+[[nodiscard]] term_position position_from(const Json::Value& backend);
 
-/// Time left until `until`; at least one millisecond, so that a call made
-/// at the last moment still fails with its own error.
+/// Time left until `until`; at least 1 ms, so that a call started at the deadline still returns its own error.
 [[nodiscard]] std::chrono::milliseconds time_left(std::chrono::steady_clock::time_point until);
 
-/// Whether a refused request may simply be sent again: it was certainly not
-/// run, and what refused it passes (a failover, a lock, a full connection
-/// table). A refusal that names a time to come back is for the caller.
-[[nodiscard]] bool worth_retrying(const error& refusal) noexcept;
+/// Whether a refused request may be retried as it is: it certainly did not run, and the cause is transient (a
+/// failover, a lock, a full connection table). A refusal with a retry delay is returned to the caller instead.
+[[nodiscard]] bool is_retryable(const error& refusal) noexcept;
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/backend_connections.cpp
+++ b/src/cornellever/proxy/backend_connections.cpp
@@ -12,123 +12,127 @@
 
 namespace {
 
-constexpr auto primary_poll = std::chrono::milliseconds{10};
-/// An instance not heard for this long counts as silent once replaced.
-constexpr auto silent_after = std::chrono::milliseconds{400};
+constexpr auto primary_poll_interval = std::chrono::milliseconds{10};
+/// A replaced instance without a heartbeat for this long counts as unresponsive.
+constexpr auto unresponsive_after = std::chrono::milliseconds{400};
 constexpr auto primary_retry_after = std::chrono::milliseconds{1000};
 
 } // namespace
 
-backend_links::backend_links(asio::any_io_executor executor, link_limits limits)
+backend_connections::backend_connections(asio::any_io_executor executor, connection_limits limits)
     : m_executor{std::move(executor)}
     , m_limits{limits}
     , m_confirmer{m_executor} {}
 
-void backend_links::update(const config::cluster& config) {
+void backend_connections::update(const config::cluster& config) {
     m_topology.reset(config);
     m_topology.set_leaving(m_leaving, clock::now());
     resize_pools();
 }
 
-void backend_links::record(const heartbeat& beat) {
-    const auto* before = m_topology.find(beat.key);
-    const bool led = before != nullptr && before->primary && before->term >= beat.term;
-    m_topology.record(beat, clock::now());
-    if (beat.answered && beat.primary && !led) {
-        if (const auto* leader = m_topology.find(beat.key); leader != nullptr) {
-            cut_replaced(*leader);
+void backend_connections::record(const heartbeat& report) {
+    const auto* before = m_topology.find(report.key);
+    const bool was_primary = before != nullptr && before->primary && before->term >= report.term;
+    m_topology.record(report, clock::now());
+    if (report.answered && report.primary && !was_primary) {
+        if (const auto* new_primary = m_topology.find(report.key); new_primary != nullptr) {
+            disconnect_replaced(*new_primary);
         }
     }
 }
 
-void backend_links::cut_replaced(const instance_view& leader) {
+void backend_connections::disconnect_replaced(const instance_view& new_primary) {
     const auto now = clock::now();
-    for (const auto* member : m_topology.members(leader.service, leader.database)) {
-        const bool silent = member->refused || now - member->last_heard > silent_after;
+    for (const auto* member : m_topology.members(new_primary.service, new_primary.database)) {
+        const bool unresponsive = member->refused || now - member->last_heartbeat_at > unresponsive_after;
         const auto found = m_pools.find(member->key);
-        if (member->key != leader.key && member->term < leader.term && silent && found != m_pools.end()) {
-            found->second->break_in_use();
+        if (member->key != new_primary.key && member->term < new_primary.term && unresponsive &&
+            found != m_pools.end()) {
+            found->second->close_in_use();
         }
     }
 }
 
-void backend_links::set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
+void backend_connections::set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
     m_leaving = leaving;
     m_topology.set_leaving(leaving, clock::now());
     m_proxies = std::max<std::size_t>(proxies, 1);
     resize_pools();
 }
 
-std::size_t backend_links::share_of(const instance_view& target) const {
-    // Every proxy takes its share of the instance's connections, so that
-    // together they never ask for more than it has.
+std::size_t backend_connections::connection_share(const instance_view& target) const {
+    // Each proxy takes an equal share of the instance's connections, so that all proxies together never exceed its
+    // limit.
     return std::max<std::size_t>(static_cast<std::size_t>(target.connections) / m_proxies, 1);
 }
 
-void backend_links::resize_pools() {
+void backend_connections::resize_pools() {
     for (const auto& [key, view] : m_topology.instances()) {
         if (const auto found = m_pools.find(key); found != m_pools.end()) {
-            found->second->resize(share_of(view));
+            found->second->resize(connection_share(view));
             found->second->retire(view.leaving_since.has_value());
         }
     }
 }
 
-pool& backend_links::pool_of(const instance_view& target) {
+pool& backend_connections::pool_for(const instance_view& target) {
     auto& slot = m_pools[target.key];
     if (!slot) {
-        slot = std::make_unique<pool>(m_executor, target.address, share_of(target));
+        slot = std::make_unique<pool>(m_executor, target.address, connection_share(target));
     }
     return *slot;
 }
 
-asio::awaitable<result<instance_view>> backend_links::await_primary(std::string_view service, std::string_view database,
-                                                                    clock::time_point until, std::uint64_t min_term) {
-    const auto leader = [&] {
-        const auto* now = m_topology.primary(service, database, clock::now());
-        return now != nullptr && now->term >= min_term ? now : nullptr;
+asio::awaitable<result<instance_view>> backend_connections::await_primary(std::string_view service,
+                                                                          std::string_view database,
+                                                                          clock::time_point until,
+                                                                          std::uint64_t min_term) {
+    const auto find_primary = [&] {
+        const auto* primary = m_topology.primary(service, database, clock::now());
+        return primary != nullptr && primary->term >= min_term ? primary : nullptr;
     };
     const auto refusal = [&] {
         return fail_for_now(errc::unavailable, "no primary answers for " + database_key(service, database),
                             primary_retry_after);
     };
-    if (const auto* now = leader(); now != nullptr) {
-        co_return *now;
+    if (const auto* primary = find_primary(); primary != nullptr) {
+        co_return *primary;
     }
     if (m_primary_waiters >= m_limits.max_primary_waiters) {
         co_return refusal();
     }
     scoped_count waiting{m_primary_waiters};
     while (clock::now() < until) {
-        co_await sleep_for(primary_poll);
-        if (const auto* now = leader(); now != nullptr) {
-            co_return *now;
+        co_await sleep_for(primary_poll_interval);
+        if (const auto* primary = find_primary(); primary != nullptr) {
+            co_return *primary;
         }
     }
     co_return refusal();
 }
 
-asio::awaitable<result<pooled_connection>> backend_links::acquire(const instance_view& target,
-                                                                  std::chrono::milliseconds wait) {
-    auto& owner = pool_of(target);
-    auto lease = co_await owner.acquire(wait);
-    if (!lease) {
-        co_return std::unexpected{lease.error()};
+asio::awaitable<result<pooled_connection>> backend_connections::acquire(const instance_view& target,
+                                                                        std::chrono::milliseconds wait) {
+    auto& owner = pool_for(target);
+    auto checked_out = co_await owner.acquire(wait);
+    if (!checked_out) {
+        co_return std::unexpected{checked_out.error()};
     }
-    co_return pooled_connection{owner, std::move(*lease)};
+    co_return pooled_connection{owner, std::move(*checked_out)};
 }
 
-asio::awaitable<result<pooled_connection>> backend_links::begin(const instance_view& target, clock::time_point until,
-                                                                std::chrono::milliseconds try_deadline) {
+asio::awaitable<result<pooled_connection>> backend_connections::begin(const instance_view& target,
+                                                                      clock::time_point until,
+                                                                      std::chrono::milliseconds attempt_deadline) {
     auto acquired = co_await acquire(target, std::min(m_limits.pool_wait, time_left(until)));
     if (!acquired) {
         co_return acquired;
     }
     Json::Value payload;
     payload["term"] = static_cast<Json::UInt64>(target.term);
-    auto begun = co_await call_on(*acquired, "begin", payload, std::min(try_deadline, time_left(until)));
+    auto begun = co_await call_on(*acquired, "begin", payload, std::min(attempt_deadline, time_left(until)));
     if (begun) {
-        acquired->in_transaction_of(rpc::uint_field(*begun, "session"));
+        acquired->set_open_transaction(rpc::uint_field(*begun, "session"));
         co_return acquired;
     }
     acquired->release();
@@ -138,18 +142,19 @@
     co_return fail(errc::unavailable, begun.error().message);
 }
 
-asio::awaitable<result<Json::Value>> backend_links::call_on(const pooled_connection& connection,
-                                                            std::string_view method, const Json::Value& payload,
-                                                            std::chrono::milliseconds deadline) {
+asio::awaitable<result<Json::Value>> backend_connections::call_on(const pooled_connection& connection,
+                                                                  std::string_view method, const Json::Value& payload,
+                                                                  std::chrono::milliseconds deadline) {
     const auto until = clock::now() + deadline;
     auto out = co_await connection->call(method, payload, deadline);
     if (!out && !connection->usable() && clock::now() >= until) {
-        connection.owner().suspect_idle();
+        connection.owner().close_idle();
     }
     co_return out;
 }
 
-asio::awaitable<void> backend_links::undo(pooled_connection& connection, std::chrono::milliseconds deadline) {
+asio::awaitable<void> backend_connections::roll_back(pooled_connection& connection,
+                                                     std::chrono::milliseconds deadline) {
     auto undone = co_await call_on(connection, "rollback", Json::Value{Json::objectValue}, deadline);
     if (undone) {
         connection.release();
@@ -158,18 +163,18 @@
     }
 }
 
-asio::awaitable<result<Json::Value>> backend_links::call(const instance_view& target, std::string_view method,
-                                                         const Json::Value& payload,
-                                                         std::chrono::milliseconds pool_wait,
-                                                         std::chrono::milliseconds deadline) {
+asio::awaitable<result<Json::Value>> backend_connections::call(const instance_view& target, std::string_view method,
+                                                               const Json::Value& payload,
+                                                               std::chrono::milliseconds pool_wait,
+                                                               std::chrono::milliseconds deadline) {
     auto connection = co_await acquire(target, pool_wait);
     if (!connection) {
         co_return std::unexpected{connection.error()};
     }
     auto out = co_await call_on(*connection, method, payload, deadline);
     if (out && out->isObject() && (*out)["in_transaction"].isBool() && (*out)["in_transaction"].asBool()) {
-        // The caller's text itself opened a transaction. Released so, the
-        // connection's next caller would write into it.
+        // The caller's SQL text opened a transaction. If the connection went back to the pool, its next user would
+        // write into that transaction.
         connection->discard();
         co_return fail(errc::bad_request, "the statement opened a transaction, which was undone: use 'begin'");
     }
@@ -177,18 +182,18 @@
     co_return out;
 }
 
-asio::awaitable<result<void>> backend_links::confirm(const instance_view& primary, write_mark mark,
-                                                     std::chrono::milliseconds wait) {
+asio::awaitable<result<void>> backend_connections::confirm(const instance_view& primary, term_position entry,
+                                                           std::chrono::milliseconds wait) {
     std::vector<confirming_replica> replicas;
     for (const auto* member : m_topology.members(primary.service, primary.database)) {
         if (member->key != primary.key) {
             replicas.push_back(confirming_replica{member->key, member->address});
         }
     }
-    co_return co_await m_confirmer.confirm(replicas, mark, confirmations_of(replicas.size() + 1), wait);
+    co_return co_await m_confirmer.confirm(replicas, entry, confirmations_of(replicas.size() + 1), wait);
 }
 
-Json::Value backend_links::describe() const {
+Json::Value backend_connections::describe() const {
     Json::Value out;
     for (const auto& [key, item] : m_pools) {
         out["pools"][key] = item->describe();
--- a/src/cornellever/proxy/backend_group.hpp
+++ b/src/cornellever/proxy/backend_group.hpp
@@ -12,13 +12,13 @@
 /// Deadlines of the calls that change a primary.
 struct group_deadlines {
     std::chrono::milliseconds fence{300};
-    /// How much longer stragglers are waited for once a majority is fenced.
+    /// How much longer to wait for the remaining members once a majority is fenced.
     std::chrono::milliseconds straggler{20};
     std::chrono::milliseconds promote{1000};
     std::chrono::milliseconds quiesce{1000};
 };
 
-/// The instances of a database over RPC, as a `group_client`.
+/// Implements `group_client` over RPC for the instances of a database.
 class backend_group {
 public:
     explicit backend_group(asio::any_io_executor executor, group_deadlines deadlines = {});
@@ -28,16 +28,16 @@
 
     /// See `group_client`.
     asio::awaitable<result<std::vector<fenced_member>>> fence(std::span<const group_member> members, std::uint64_t term,
-                                                              std::size_t enough);
+                                                              std::size_t quorum);
 
     /// See `group_client`.
     asio::awaitable<result<void>> promote(const group_member& member, std::uint64_t term,
                                           std::span<const group_member> members);
 
 private:
-    struct fencing;
+    struct fence_round;
 
-    asio::awaitable<void> fence_one(group_member member, std::uint64_t term, std::shared_ptr<fencing> all);
+    asio::awaitable<void> fence_one(group_member member, std::uint64_t term, std::shared_ptr<fence_round> round);
 
     asio::any_io_executor m_executor;
     group_deadlines m_deadlines;
--- a/src/cornellever/proxy/config_follower.cpp
+++ b/src/cornellever/proxy/config_follower.cpp
@@ -7,7 +7,7 @@
 namespace cornellever::proxy {
 
 config_follower::config_follower(asio::any_io_executor executor, tcp::endpoint platform,
-                                 std::vector<tcp::endpoint> peers, follow_limits limits,
+                                 std::vector<tcp::endpoint> peers, follower_limits limits,
                                  std::function<void(config::cluster)> on_newer)
     : m_executor{std::move(executor)}
     , m_platform{m_executor, std::move(platform)}
@@ -17,20 +17,20 @@
 
 asio::awaitable<void> config_follower::run() {
     for (;;) {
-        auto row = co_await newer_row();
+        auto row = co_await fetch_newer_row();
         if (row) {
             m_failing = false;
-            take(*row);
+            apply(*row);
         } else {
-            note_failure(row.error());
-            co_await ask_peer();
+            log_failure(row.error());
+            co_await fetch_from_peer();
         }
         co_await sleep_for(m_limits.poll);
     }
 }
 
-void config_follower::note_failure(const error& failure) {
-    // Once per outage: the platform may be down for hours.
+void config_follower::log_failure(const error& failure) {
+    // Logged once per outage: the platform may be down for hours.
     if (!m_failing) {
         log_event(event::config_fetch_failed,
                   "reason=\"" + failure.message + "\" version_in_force=" + std::to_string(m_version));
@@ -38,9 +38,9 @@
     m_failing = true;
 }
 
-asio::awaitable<result<Json::Value>> config_follower::newer_row() {
-    // The row of a large customer is tens of kilobytes: its version alone is
-    // asked for at each poll, the row only when that has risen.
+asio::awaitable<result<Json::Value>> config_follower::fetch_newer_row() {
+    // A large customer's configuration takes tens of kilobytes, so each poll reads the version only and fetches the
+    // row when the version has risen.
     Json::Value listed;
     listed["prefix"] = std::string{config_row};
     auto rows = co_await m_platform.call("table.list", listed, m_limits.call_deadline);
@@ -56,24 +56,23 @@
     co_return co_await m_platform.call("table.get", params, m_limits.call_deadline);
 }
 
-asio::awaitable<void> config_follower::ask_peer() {
-    // A machine replaced during an outage of the platform starts with
-    // nothing. What another proxy has in force was accepted once, and its
-    // version decides whether it is newer, so taking it over cannot revert.
+asio::awaitable<void> config_follower::fetch_from_peer() {
+    // A machine that is replaced during a platform outage starts without a configuration. The configuration of another
+    // proxy has been accepted before, and it is applied only if its version is newer, so fetching it cannot revert
+    // anything.
     if (m_peers.empty()) {
         co_return;
     }
-    rpc::channel link{m_executor, m_peers[m_next_peer++ % m_peers.size()]};
-    auto row = co_await link.call("config.current", Json::Value{Json::objectValue}, m_limits.call_deadline);
+    rpc::channel channel{m_executor, m_peers[m_next_peer++ % m_peers.size()]};
+    auto row = co_await channel.call("config.current", Json::Value{Json::objectValue}, m_limits.call_deadline);
     if (row) {
-        take(*row);
+        apply(*row);
     }
 }
 
-void config_follower::take(const Json::Value& row) {
+void config_follower::apply(const Json::Value& row) {
     const auto version = rpc::uint_field(row, "version");
-    // An answer that was held up, or a peer that is behind, may show a lower
-    // version: a configuration in force never reverts.
+    // A delayed answer or an outdated peer may return a lower version; the configuration in force never reverts.
     if (version <= m_version) {
         return;
     }
--- a/src/cornellever/proxy/confirmer.hpp
+++ b/src/cornellever/proxy/confirmer.hpp
@@ -21,49 +21,45 @@
     tcp::endpoint address;
 };
 
-/// Waits until replicas hold a write in the term it was made in.
+/// Waits until a quorum of replicas holds a write in the term in which it was made.
 ///
-/// The failure it guards against: a primary cut off from its replicas goes
-/// on taking writes while another is promoted. Its writes are in no other
-/// log, and a replica that promised a later term refuses to confirm, so they
-/// are never acknowledged; every acknowledged write is held by a majority,
-/// from which the next primary is chosen.
+/// This guards against a primary that is cut off from its replicas and keeps accepting writes while another instance
+/// is promoted. Its writes are in no other log, and a replica that accepted a later term refuses to confirm them, so
+/// they are never acknowledged. Every acknowledged write is held by a majority, from which the next primary is chosen.
 ///
-/// One connection per replica, open while writes wait, asks for the lowest
-/// position waited for; each answer confirms every write up to the position
-/// the replica holds. Used from the traffic thread only.
+/// One connection per replica polls for the lowest pending position while writes are pending; each answer confirms
+/// every write up to the position that the replica holds. Used from the traffic thread only.
 class confirmer {
 public:
     explicit confirmer(asio::any_io_executor executor);
 
-    /// Waits until `needed` of `replicas` hold `mark`, at most `wait`.
-    /// Errors: `outcome_unknown`, as the write stands on the primary and may
-    /// or may not outlive it.
-    asio::awaitable<result<void>> confirm(std::span<const confirming_replica> replicas, write_mark mark,
+    /// Waits until `needed` of `replicas` hold `entry`, at most `wait`. Errors: `outcome_unknown`, because the write
+    /// is in the primary's log and may or may not survive a failover.
+    asio::awaitable<result<void>> confirm(std::span<const confirming_replica> replicas, term_position entry,
                                           std::size_t needed, std::chrono::milliseconds wait);
 
 private:
-    struct waiting_write {
-        write_mark mark;
+    struct pending_write {
+        term_position entry;
         std::size_t needed;
-        /// Replicas that have not refused for good.
-        std::size_t may_confirm;
+        /// Replicas that have not refused permanently.
+        std::size_t candidates;
         std::set<std::string> confirmed;
         asio::steady_timer timer;
     };
 
-    struct follower {
-        std::unique_ptr<rpc::channel> link;
-        std::set<waiting_write*> writes;
+    struct replica_poll {
+        std::unique_ptr<rpc::channel> channel;
+        std::set<pending_write*> writes;
         bool running{false};
     };
 
-    asio::awaitable<void> follow(std::string key);
-    static void take_held(follower& from, const std::string& key, write_mark held);
-    static void take_refusal(follower& from, std::uint64_t term);
+    asio::awaitable<void> poll_replica(std::string key);
+    static void record_progress(replica_poll& from, const std::string& key, term_position received);
+    static void record_refusal(replica_poll& from, std::uint64_t term);
 
     asio::any_io_executor m_executor;
-    std::map<std::string, follower> m_followers;
+    std::map<std::string, replica_poll> m_replicas;
 };
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/control.cpp
+++ b/src/cornellever/proxy/control.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-heartbeat beat_from(const std::string& key, const result<Json::Value>& status) {
+heartbeat heartbeat_from(const std::string& key, const result<Json::Value>& status) {
     heartbeat out;
     out.key = key;
     if (!status) {
@@ -22,40 +22,40 @@
     out.term = rpc::uint_field(*status, "term");
     out.position = rpc::uint_field(*status, "position");
     out.staleness_ms = static_cast<std::int64_t>(rpc::uint_field(*status, "staleness_ms"));
-    out.heard_ms = static_cast<std::int64_t>(rpc::uint_field(*status, "heard_ms"));
+    out.primary_contact_age_ms = static_cast<std::int64_t>(rpc::uint_field(*status, "heard_ms"));
     return out;
 }
 
 } // namespace
 
-control::control(asio::any_io_executor own, asio::any_io_executor traffic, router& traffic_router,
+control::control(asio::any_io_executor control_executor, asio::any_io_executor traffic, router& traffic_router,
                  const settings& own_settings, const chart& failover_steps, control_limits limits)
-    : m_own{std::move(own)}
-    , m_traffic{std::move(traffic)}
+    : m_control_executor{std::move(control_executor)}
+    , m_traffic_executor{std::move(traffic)}
     , m_router{traffic_router}
     , m_platform{own_settings.platform}
     , m_limits{limits}
-    , m_follower{m_own,
+    , m_follower{m_control_executor,
                  m_platform,
                  own_settings.peers,
                  {},
-                 [this](config::cluster newer) { take_config(std::move(newer)); }}
-    , m_keeper{m_own,
-               m_topology,
-               m_platform,
-               own_settings.peers,
-               own_settings.name,
-               failover_steps,
-               {},
-               [this](const heartbeat& beat) { learn(beat); }} {}
+                 [this](config::cluster newer) { apply_config(std::move(newer)); }}
+    , m_primary_monitor{m_control_executor,
+                        m_topology,
+                        m_platform,
+                        own_settings.peers,
+                        own_settings.name,
+                        failover_steps,
+                        {},
+                        [this](const heartbeat& report) { record_heartbeat(report); }} {}
 
 void control::start() {
-    asio::co_spawn(m_own, m_follower.run(), asio::detached);
-    asio::co_spawn(m_own, follow_machines(), asio::detached);
-    asio::co_spawn(m_own, m_keeper.run(m_config), asio::detached);
+    asio::co_spawn(m_control_executor, m_follower.run(), asio::detached);
+    asio::co_spawn(m_control_executor, poll_machines(), asio::detached);
+    asio::co_spawn(m_control_executor, m_primary_monitor.run(m_config), asio::detached);
 }
 
-void control::take_config(config::cluster config) {
+void control::apply_config(config::cluster config) {
     m_config = std::move(config);
     m_topology.reset(m_config);
     ++m_generation;
@@ -63,27 +63,27 @@
         auto& slot = m_probes[key];
         if (slot.second == 0 || slot.first != view.address) {
             slot = {view.address, m_generation};
-            asio::co_spawn(m_own, probe(key, view.address, m_generation), asio::detached);
+            asio::co_spawn(m_control_executor, probe(key, view.address, m_generation), asio::detached);
         }
     }
     std::erase_if(m_probes, [&](const auto& item) { return !m_topology.instances().contains(item.first); });
     log_event(event::config_loaded, "version=" + std::to_string(m_config.version) +
                                         " instances=" + std::to_string(m_topology.instances().size()));
-    asio::post(m_traffic, [&target = m_router, next = m_config]() mutable { target.update(std::move(next)); });
+    asio::post(m_traffic_executor, [&target = m_router, next = m_config]() mutable { target.update(std::move(next)); });
 }
 
-asio::awaitable<void> control::follow_machines() {
-    rpc::kept_channel link{m_own, m_platform};
+asio::awaitable<void> control::poll_machines() {
+    rpc::kept_channel channel{m_control_executor, m_platform};
     for (;;) {
-        auto list = co_await link.call("vms.list", Json::Value{Json::objectValue}, m_limits.call_deadline);
+        auto list = co_await channel.call("vms.list", Json::Value{Json::objectValue}, m_limits.call_deadline);
         if (list) {
-            take_machines(*list);
+            apply_machines(*list);
         }
         co_await sleep_for(m_limits.machines_poll);
     }
 }
 
-void control::take_machines(const Json::Value& list) {
+void control::apply_machines(const Json::Value& list) {
     std::set<std::string, std::less<>> leaving;
     std::size_t proxies = 0;
     for (auto item = list.begin(); item != list.end(); ++item) {
@@ -94,45 +94,45 @@
         proxies += rpc::text_field(*item, "kind") == "proxy" && state == "live" ? 1 : 0;
     }
     m_topology.set_leaving(leaving, std::chrono::steady_clock::now());
-    asio::post(m_traffic,
+    asio::post(m_traffic_executor,
                [&target = m_router, leaving = std::move(leaving), proxies] { target.set_machines(leaving, proxies); });
 }
 
-void control::learn(const heartbeat& beat) {
-    m_topology.record(beat, std::chrono::steady_clock::now());
-    asio::post(m_traffic, [&target = m_router, beat] { target.record(beat); });
+void control::record_heartbeat(const heartbeat& report) {
+    m_topology.record(report, std::chrono::steady_clock::now());
+    asio::post(m_traffic_executor, [&target = m_router, report] { target.record(report); });
 }
 
 asio::awaitable<void> control::probe(std::string key, tcp::endpoint address, std::uint64_t generation) {
-    rpc::kept_channel link{m_own, address};
+    rpc::kept_channel channel{m_control_executor, address};
     bool was_up = false;
     for (;;) {
         const auto found = m_probes.find(key);
         if (found == m_probes.end() || found->second.second != generation) {
             co_return;
         }
-        auto status = co_await link.call("status", Json::Value{Json::objectValue}, m_limits.heartbeat_deadline);
+        auto status = co_await channel.call("status", Json::Value{Json::objectValue}, m_limits.heartbeat_deadline);
         if (status.has_value() != was_up) {
             log_event(status ? event::instance_up : event::instance_down, "instance=" + key);
             was_up = status.has_value();
         }
-        learn(beat_from(key, status));
+        record_heartbeat(heartbeat_from(key, status));
         co_await sleep_for(heartbeat_pause(key));
     }
 }
 
 std::chrono::milliseconds control::heartbeat_pause(std::string_view key) const {
-    // Once a database's primary is overdue, its members are asked more often:
-    // this proxy may not be the one that replaces it, and hears of the new
-    // primary only by its heartbeats.
+    // While a database's primary is overdue, its members are polled more often: another proxy may perform the
+    // failover, and then this one learns of the new primary only from its heartbeats.
     const auto* self = m_topology.find(key);
     if (self == nullptr) {
-        return m_limits.heartbeat;
+        return m_limits.heartbeat_interval;
     }
     const auto now = std::chrono::steady_clock::now();
     const auto* primary = m_topology.primary(self->service, self->database, now);
-    const bool overdue = primary == nullptr || now - primary->last_heard > m_limits.overdue;
-    return overdue ? m_limits.urgent_heartbeat : m_limits.heartbeat;
+    const bool primary_overdue =
+        primary == nullptr || now - primary->last_heartbeat_at > m_limits.primary_overdue_after;
+    return primary_overdue ? m_limits.overdue_heartbeat_interval : m_limits.heartbeat_interval;
 }
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -17,45 +17,44 @@
 
 namespace cornellever::proxy {
 
-/// Periods and deadlines of heartbeats and of the list of machines.
+/// Intervals and deadlines of heartbeats and of the machine list.
 struct control_limits {
     std::chrono::milliseconds machines_poll{1000};
     std::chrono::milliseconds call_deadline{400};
-    std::chrono::milliseconds heartbeat{200};
+    std::chrono::milliseconds heartbeat_interval{200};
     std::chrono::milliseconds heartbeat_deadline{300};
-    /// While a database's primary has not answered for `overdue`.
-    std::chrono::milliseconds urgent_heartbeat{40};
-    std::chrono::milliseconds overdue{300};
+    /// Heartbeat interval while a database's primary has not answered for `primary_overdue_after`.
+    std::chrono::milliseconds overdue_heartbeat_interval{40};
+    std::chrono::milliseconds primary_overdue_after{300};
 };
 
-/// The control side of a proxy, on its own thread: heartbeats every instance
-/// of the configuration in force, follows the list of machines, and hands
-/// what it learns to the router on the traffic thread.
+/// The control side of a proxy, on a thread of its own: sends heartbeats to every instance of the configuration in
+/// force, polls the list of machines, and passes the results to the router on the traffic thread.
 class control {
 public:
-    control(asio::any_io_executor own, asio::any_io_executor traffic, router& traffic_router,
+    control(asio::any_io_executor control_executor, asio::any_io_executor traffic, router& traffic_router,
             const settings& own_settings, const chart& failover_steps, control_limits limits = {});
 
-    /// Starts every loop.
+    /// Starts all polling loops.
     void start();
 
 private:
-    asio::awaitable<void> follow_machines();
+    asio::awaitable<void> poll_machines();
     asio::awaitable<void> probe(std::string key, tcp::endpoint address, std::uint64_t generation);
     [[nodiscard]] std::chrono::milliseconds heartbeat_pause(std::string_view key) const;
-    void take_config(config::cluster config);
-    void take_machines(const Json::Value& list);
-    void learn(const heartbeat& beat);
+    void apply_config(config::cluster config);
+    void apply_machines(const Json::Value& list);
+    void record_heartbeat(const heartbeat& report);
 
-    asio::any_io_executor m_own;
-    asio::any_io_executor m_traffic;
+    asio::any_io_executor m_control_executor;
+    asio::any_io_executor m_traffic_executor;
     router& m_router;
     tcp::endpoint m_platform;
     control_limits m_limits;
     config::cluster m_config;
     topology m_topology;
     config_follower m_follower;
-    primary_keeper m_keeper;
+    primary_monitor m_primary_monitor;
     std::map<std::string, std::pair<tcp::endpoint, std::uint64_t>> m_probes;
     std::uint64_t m_generation{0};
 };
--- a/src/cornellever/proxy/fwd.hpp
+++ b/src/cornellever/proxy/fwd.hpp
@@ -3,7 +3,7 @@
 namespace cornellever::proxy {
 
 struct session_token;
-struct write_mark;
+struct term_position;
 struct group_record;
 struct heartbeat;
 struct instance_view;
@@ -11,16 +11,16 @@
 class pooled_connection;
 class topology;
 class confirmer;
-class backend_links;
+class backend_connections;
 class request_record;
 class read_path;
 class write_path;
 class transaction_table;
 class router;
 class config_follower;
-class primary_keeper;
+class primary_monitor;
 class control;
-class planned_stop;
+class graceful_shutdown;
 class platform_store;
 class backend_group;
 
--- a/src/cornellever/proxy/graceful_shutdown.cpp
+++ b/src/cornellever/proxy/graceful_shutdown.cpp
@@ -11,12 +11,12 @@
 
 } // namespace
 
-asio::awaitable<void> planned_stop::run() {
+asio::awaitable<void> graceful_shutdown::run() {
     m_router.drain();
     std::string state = m_steps.start();
     auto entered = clock::now();
     while (!m_steps.action(state).empty()) {
-        const auto event = act(m_steps.action(state), entered);
+        const auto event = run_action(m_steps.action(state), entered);
         auto next = m_steps.next(state, event);
         if (!next) {
             next = std::string{final_state};
@@ -30,7 +30,7 @@
     }
 }
 
-std::string_view planned_stop::act(std::string_view action, clock::time_point entered) {
+std::string_view graceful_shutdown::run_action(std::string_view action, clock::time_point entered) {
     if (action == "wait_for_transactions") {
         return wait_for_transactions(entered);
     }
@@ -40,19 +40,19 @@
     return "unknown_action";
 }
 
-std::string_view planned_stop::wait_for_transactions(clock::time_point entered) {
+std::string_view graceful_shutdown::wait_for_transactions(clock::time_point entered) {
     if (m_router.open_transactions() == 0) {
         return "finished";
     }
     return clock::now() - entered > m_limits.transactions ? "out_of_time" : "waiting";
 }
 
-std::string_view planned_stop::wait_for_requests(clock::time_point entered) {
+std::string_view graceful_shutdown::wait_for_requests(clock::time_point entered) {
     m_server.stop_accepting();
     m_server.drain();
     const auto waited = clock::now() - entered;
-    const bool quiet = m_server.in_flight() == 0;
-    if (quiet && (m_server.open_connections() == 0 || waited > m_limits.idle_grace)) {
+    const bool idle = m_server.in_flight() == 0;
+    if (idle && (m_server.open_connections() == 0 || waited > m_limits.idle_connection_grace)) {
         return "finished";
     }
     return waited > m_limits.requests ? "out_of_time" : "waiting";
--- a/src/cornellever/proxy/graceful_shutdown.hpp
+++ b/src/cornellever/proxy/graceful_shutdown.hpp
@@ -10,41 +10,40 @@
 
 namespace cornellever::proxy {
 
-/// How long each part of a planned stop may take.
-struct stop_limits {
+/// Time limits of the phases of a graceful shutdown.
+struct shutdown_limits {
     /// For open transactions to end.
     std::chrono::milliseconds transactions{4000};
-    /// For requests under way, once no transaction is open.
+    /// For requests in flight, once no transaction is open.
     std::chrono::milliseconds requests{6000};
-    /// For a connection with no request on it to send one.
-    std::chrono::milliseconds idle_grace{500};
+    /// For an idle connection to send a request that is already on its way.
+    std::chrono::milliseconds idle_connection_grace{500};
 };
 
-/// Stops a proxy without cutting a request, following charts/drain.ini:
-/// transactions end first, on the connections that began them; then every
-/// connection ends after an answer, never before one.
-class planned_stop {
+/// Stops a proxy without interrupting requests, following charts/drain.ini: first transactions end, on the connections
+/// that began them; then each connection is closed after an answer, never before one.
+class graceful_shutdown {
 public:
     using clock = std::chrono::steady_clock;
 
-    planned_stop(rpc::server& server, router& traffic, const chart& steps, stop_limits limits = {})
+    graceful_shutdown(rpc::server& server, router& traffic, const chart& steps, shutdown_limits limits = {})
         : m_server{server}
         , m_router{traffic}
         , m_steps{steps}
         , m_limits{limits} {}
 
-    /// Runs the chart to its end; the process may exit then.
+    /// Runs the chart to its end; the process may exit afterwards.
     asio::awaitable<void> run();
 
 private:
-    [[nodiscard]] std::string_view act(std::string_view action, clock::time_point entered);
+    [[nodiscard]] std::string_view run_action(std::string_view action, clock::time_point entered);
     [[nodiscard]] std::string_view wait_for_transactions(clock::time_point entered);
     [[nodiscard]] std::string_view wait_for_requests(clock::time_point entered);
 
     rpc::server& m_server;
     router& m_router;
     const chart& m_steps;
-    stop_limits m_limits;
+    shutdown_limits m_limits;
 };
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/main.cpp
+++ b/src/cornellever/proxy/main.cpp
@@ -17,8 +17,8 @@
 
 constexpr auto sweep_period = std::chrono::seconds{1};
 
-/// Prints findings; whether there were none.
-bool no_findings(const std::vector<ini::finding>& findings) {
+/// Prints the findings to stderr; returns whether there were none.
+bool print_findings(const std::vector<ini::finding>& findings) {
     for (const auto& item : findings) {
         std::fprintf(stderr, "%s\n", ini::to_string(item).c_str());
     }
@@ -46,10 +46,10 @@
         return 1;
     }
     rpc.start();
-    proxy::control watcher{control_io.get_executor(), io.get_executor(), traffic, settings, failover_steps};
-    watcher.start();
+    proxy::control control{control_io.get_executor(), io.get_executor(), traffic, settings, failover_steps};
+    control.start();
     asio::co_spawn(io, sweep(traffic), asio::detached);
-    proxy::planned_stop stop{rpc, traffic, drain_steps};
+    proxy::graceful_shutdown stop{rpc, traffic, drain_steps};
     auto signals = on_stop_signal(io, [&] {
         log_event(event::process_stopping, "role=proxy in_flight=" + std::to_string(rpc.in_flight()));
         asio::co_spawn(io, stop.run(), [&](const std::exception_ptr&) {
@@ -89,7 +89,7 @@
         return 2;
     }
     proxy::settings_text text;
-    if (folder.isSet() && !no_findings(proxy::read_settings(folder.getValue(), text))) {
+    if (folder.isSet() && !print_findings(proxy::read_settings(folder.getValue(), text))) {
         return 2;
     }
     for (auto [arg, target] :
@@ -100,7 +100,7 @@
         }
     }
     proxy::settings settings;
-    if (!no_findings(proxy::check_settings(text, settings))) {
+    if (!print_findings(proxy::check_settings(text, settings))) {
         return 2;
     }
     return run_proxy(settings);
--- a/src/cornellever/proxy/pool.cpp
+++ b/src/cornellever/proxy/pool.cpp
@@ -20,51 +20,51 @@
     , m_budget{budget}
     , m_max_waiters{max_waiters} {}
 
-asio::awaitable<result<pool::lease>> pool::acquire(std::chrono::milliseconds wait) {
+asio::awaitable<result<pool::channel_ptr>> pool::acquire(std::chrono::milliseconds wait) {
     if (auto connection = take_idle()) {
-        co_return lend(std::move(connection));
+        co_return check_out(std::move(connection));
     }
     if (m_open < m_budget) {
         ++m_open;
-        co_return lend(std::make_unique<rpc::channel>(m_executor, m_peer));
+        co_return check_out(std::make_unique<rpc::channel>(m_executor, m_peer));
     }
-    if (m_waiters.size() >= m_max_waiters) {
+    if (m_wait_queue.size() >= m_max_waiters) {
         log_event(event::pool_exhausted,
-                  "instance=" + to_string(m_peer) + " waiters=" + std::to_string(m_waiters.size()));
+                  "instance=" + to_string(m_peer) + " waiters=" + std::to_string(m_wait_queue.size()));
         co_return fail_for_now(errc::busy,
                                "all " + std::to_string(m_budget) + " connections to " + to_string(m_peer) +
                                    " are in use and the queue is full",
                                queue_retry_after);
     }
-    waiter me{asio::steady_timer{m_executor, wait}, std::nullopt};
-    m_waiters.push_back(&me);
+    waiter entry{asio::steady_timer{m_executor, wait}, std::nullopt};
+    m_wait_queue.push_back(&entry);
     boost::system::error_code ec;
-    co_await me.timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
-    if (me.granted) {
-        co_return std::move(*me.granted);
+    co_await entry.timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+    if (entry.granted) {
+        co_return std::move(*entry.granted);
     }
-    std::erase(m_waiters, &me);
+    std::erase(m_wait_queue, &entry);
     co_return fail(errc::busy, "no connection to " + to_string(m_peer) + " came free within " +
                                    std::to_string(wait.count()) + " ms");
 }
 
-pool::lease pool::lend(lease connection) {
+pool::channel_ptr pool::check_out(channel_ptr connection) {
     m_in_use.insert(connection.get());
     return connection;
 }
 
-void pool::break_in_use() {
+void pool::close_in_use() {
     for (auto* connection : m_in_use) {
         connection->close();
     }
 }
 
-pool::lease pool::take_idle() {
+pool::channel_ptr pool::take_idle() {
     while (!m_idle.empty()) {
         auto connection = std::move(m_idle.back());
         m_idle.pop_back();
-        // The backend may have closed it meanwhile (a restart, its own idle
-        // limit). A request sent on it would end as "outcome unknown".
+        // The backend may have closed it in the meantime (a restart, an idle timeout). A request sent on it would end
+        // as `outcome_unknown`.
         if (!connection->stale()) {
             return connection;
         }
@@ -78,20 +78,20 @@
     asio::co_spawn(
         m_executor,
         [](asio::any_io_executor executor, tcp::endpoint peer, std::uint64_t name) -> asio::awaitable<void> {
-            rpc::channel link{executor, peer};
+            rpc::channel channel{executor, peer};
             Json::Value params;
             params["session"] = static_cast<Json::UInt64>(name);
-            (void)co_await link.call("terminate", params, terminate_deadline);
+            (void)co_await channel.call("terminate", params, terminate_deadline);
         }(m_executor, m_peer, session),
         asio::detached);
 }
 
-void pool::suspect_idle() {
+void pool::close_idle() {
     log_event(event::connections_suspect,
               "instance=" + to_string(m_peer) + " idle_closed=" + std::to_string(m_idle.size()));
     m_open -= m_idle.size();
     m_idle.clear();
-    hand_over();
+    serve_wait_queue();
 }
 
 void pool::resize(std::size_t budget) {
@@ -100,7 +100,7 @@
         m_idle.pop_back();
         --m_open;
     }
-    hand_over();
+    serve_wait_queue();
 }
 
 void pool::retire(bool retired) {
@@ -111,32 +111,32 @@
     }
 }
 
-void pool::release(lease connection) {
+void pool::release(channel_ptr connection) {
     m_in_use.erase(connection.get());
     if (!connection->usable() || m_open > m_budget || m_retired) {
-        // A connection whose last call failed may still carry that call's
-        // transaction on the backend; closing it makes the backend roll back.
+        // A connection whose last call failed may still hold that call's transaction open on the backend; closing it
+        // makes the backend roll back.
         if (!connection->usable()) {
             log_event(event::connection_broken, "instance=" + to_string(m_peer));
         }
         connection->close();
         --m_open;
-        hand_over();
+        serve_wait_queue();
         return;
     }
     m_idle.push_back(std::move(connection));
-    hand_over();
+    serve_wait_queue();
 }
 
-void pool::discard(lease connection) {
+void pool::discard(channel_ptr connection) {
     m_in_use.erase(connection.get());
     connection->close();
     --m_open;
-    hand_over();
+    serve_wait_queue();
 }
 
-void pool::hand_over() {
-    while (!m_waiters.empty()) {
+void pool::serve_wait_queue() {
+    while (!m_wait_queue.empty()) {
         auto next = take_idle();
         if (!next && m_open >= m_budget) {
             return;
@@ -145,9 +145,9 @@
             ++m_open;
             next = std::make_unique<rpc::channel>(m_executor, m_peer);
         }
-        auto* first = m_waiters.front();
-        m_waiters.pop_front();
-        first->granted = lend(std::move(next));
+        auto* first = m_wait_queue.front();
+        m_wait_queue.pop_front();
+        first->granted = check_out(std::move(next));
         first->timer.cancel();
     }
 }
@@ -157,7 +157,7 @@
     out["budget"] = static_cast<Json::UInt64>(m_budget);
     out["open"] = static_cast<Json::UInt64>(m_open);
     out["idle"] = static_cast<Json::UInt64>(m_idle.size());
-    out["waiting"] = static_cast<Json::UInt64>(m_waiters.size());
+    out["waiting"] = static_cast<Json::UInt64>(m_wait_queue.size());
     return out;
 }
 
--- a/src/cornellever/proxy/pool.hpp
+++ b/src/cornellever/proxy/pool.hpp
@@ -16,51 +16,47 @@
 
 namespace cornellever::proxy {
 
-/// Most callers that may wait for a connection of one instance at once.
+/// Limit of the wait queue for connections to one instance.
 inline constexpr std::size_t default_max_waiters = 64;
 
-/// The connections of this proxy to one backend instance, at most `budget`
-/// open at once. A caller waits in a bounded queue for a free one, and is
-/// refused early and honestly ("busy", not run) when the queue is full or
-/// the wait runs out. Used from the traffic thread only.
+/// A connection pool to one backend instance with at most `budget` open connections. A request without a free
+/// connection waits in a bounded queue. If the queue is full or the wait times out, it is refused with `busy`, which
+/// means it did not run. Used from the traffic thread only.
 class pool {
 public:
-    using lease = std::unique_ptr<rpc::channel>;
+    using channel_ptr = std::unique_ptr<rpc::channel>;
 
     pool(asio::any_io_executor executor, tcp::endpoint peer, std::size_t budget,
          std::size_t max_waiters = default_max_waiters);
 
-    /// A connection for one caller, waiting at most `wait`.
-    /// Errors: `busy` when none came free in time, or at once, saying when to
-    /// come back, when the queue is full.
-    asio::awaitable<result<lease>> acquire(std::chrono::milliseconds wait);
+    /// Checks out a connection, waiting at most `wait`. Errors: `busy` if none became free in time; immediately, with
+    /// a retry delay, if the wait queue is full.
+    asio::awaitable<result<channel_ptr>> acquire(std::chrono::milliseconds wait);
 
-    /// Gives a connection back; one left in doubt by a failed call is closed.
-    void release(lease connection);
+    /// Returns a connection to the pool. A connection that a failed call left in an unknown state is closed.
+    void release(channel_ptr connection);
 
-    /// Closes a connection that must not be reused, such as one that holds
-    /// an abandoned transaction: the backend rolls back what it held.
-    void discard(lease connection);
+    /// Closes a connection that must not be reused, such as one with an abandoned transaction; the backend rolls that
+    /// back.
+    void discard(channel_ptr connection);
 
-    /// Has the backend undo the transaction of the connection it calls
-    /// `session`, over a fresh connection; nothing waits for it.
+    /// Has the backend roll back the transaction of its session `session`, over a new connection. Does not wait for
+    /// the answer.
     void terminate(std::uint64_t session);
 
-    /// Closes every idle connection. Called when a call timed out: whatever
-    /// lost track of that connection (a middlebox, a half-dead machine) has
-    /// likely lost the idle ones too, and each would cost another caller a
-    /// whole deadline to find out.
-    void suspect_idle();
+    /// Closes all idle connections. Called after a call timed out: whatever dropped that connection (a middlebox, a
+    /// failing machine) has probably dropped the idle ones too, and each would cost another request a full timeout.
+    void close_idle();
 
-    /// Cuts every connection in use: the instance was replaced while it did
-    /// not answer, and whoever waits for it would wait out a deadline.
-    void break_in_use();
+    /// Closes all connections in use. Called when an unresponsive instance was replaced, so that pending calls fail
+    /// now instead of at their deadlines.
+    void close_in_use();
 
-    /// Sets a new budget; connections over it close as they come back.
+    /// Sets a new budget; connections above it are closed when they are returned.
     void resize(std::size_t budget);
 
-    /// Closes idle connections and keeps none from now on: the instance is
-    /// leaving and its connections are to end with the work under way.
+    /// While retired, the pool keeps no idle connections: the instance is leaving, and each connection is closed when
+    /// its current work ends.
     void retire(bool retired);
 
     /// Open, idle and waiting counts, for the state dump.
@@ -69,12 +65,12 @@
 private:
     struct waiter {
         asio::steady_timer timer;
-        std::optional<lease> granted;
+        std::optional<channel_ptr> granted;
     };
 
-    [[nodiscard]] lease take_idle();
-    [[nodiscard]] lease lend(lease connection);
-    void hand_over();
+    [[nodiscard]] channel_ptr take_idle();
+    [[nodiscard]] channel_ptr check_out(channel_ptr connection);
+    void serve_wait_queue();
 
     asio::any_io_executor m_executor;
     tcp::endpoint m_peer;
@@ -82,9 +78,9 @@
     std::size_t m_max_waiters;
     std::size_t m_open{0};
     bool m_retired{false};
-    std::vector<lease> m_idle;
+    std::vector<channel_ptr> m_idle;
     std::set<rpc::channel*> m_in_use;
-    std::deque<waiter*> m_waiters;
+    std::deque<waiter*> m_wait_queue;
 };
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/pooled_connection.hpp
+++ b/src/cornellever/proxy/pooled_connection.hpp
@@ -7,13 +7,14 @@
 
 namespace cornellever::proxy {
 
-/// A connection on loan from a pool. One that is not handed back with
-/// `release` is closed when the loan ends, so a caller that is cut off in the
-/// middle of a transaction can never leave it to the connection's next user:
-/// the backend rolls back what a closed connection held.
+/// A connection checked out of a pool. Unless returned with `release`, it is closed on destruction. So a transaction
+/// that its caller abandoned can never be inherited by the connection's next user: the backend rolls back the
+/// transaction of a closed connection.
 class pooled_connection {
 public:
-    pooled_connection(pool& owner, pool::lease connection) : m_owner{&owner}, m_connection{std::move(connection)} {}
+    pooled_connection(pool& owner, pool::channel_ptr connection)
+        : m_owner{&owner}
+        , m_connection{std::move(connection)} {}
     ~pooled_connection() { discard(); }
     pooled_connection(pooled_connection&& other) noexcept
         : m_owner{other.m_owner}
@@ -33,11 +34,10 @@
 
     rpc::channel* operator->() const noexcept { return m_connection.get(); }
 
-    /// Notes the backend's name for the transaction that is open here.
-    void in_transaction_of(std::uint64_t session) noexcept { m_session = session; }
+    /// Sets the backend's session id of the transaction that is open on this connection.
+    void set_open_transaction(std::uint64_t session) noexcept { m_session = session; }
 
-    /// Hands the connection back for the next caller, its transaction ended;
-    /// one that is in doubt is closed.
+    /// Returns the connection, its transaction ended, to the pool. A connection in an unknown state is closed.
     void release() {
         if (m_connection && !m_connection->usable()) {
             discard();
@@ -46,10 +46,8 @@
         }
     }
 
-    /// Closes the connection, and has a transaction left open on it ended
-    /// over another one: where something between the two ends has lost track
-    /// of this connection, the backend never sees it close and would hold the
-    /// transaction's locks against every other writer.
+    /// Closes the connection and has a transaction left open on it terminated over another one. If the network has
+    /// dropped this connection, the backend never sees it close and would keep holding the transaction's locks.
     void discard() {
         if (!m_connection) {
             return;
@@ -60,12 +58,12 @@
         m_owner->discard(std::move(m_connection));
     }
 
-    /// The pool it came from.
+    /// The pool that the connection belongs to.
     [[nodiscard]] pool& owner() const noexcept { return *m_owner; }
 
 private:
     pool* m_owner;
-    pool::lease m_connection;
+    pool::channel_ptr m_connection;
     std::uint64_t m_session{0};
 };
 
--- a/src/cornellever/proxy/primary_health.cpp
+++ b/src/cornellever/proxy/primary_health.cpp
@@ -10,7 +10,7 @@
 
 using time_point = std::chrono::steady_clock::time_point;
 
-const instance_view* answering_primary(std::span<const instance_view* const> members, time_point now) {
+const instance_view* responsive_primary(std::span<const instance_view* const> members, time_point now) {
     const instance_view* best = nullptr;
     for (const auto* item : members) {
         if (item->primary && item->healthy(now) && (best == nullptr || item->term > best->term)) {
@@ -20,49 +20,49 @@
     return best;
 }
 
-/// How long ago the replica last heard its primary, counting the time since
-/// its own heartbeat.
-std::chrono::steady_clock::duration unheard(const instance_view& replica, time_point now) {
-    return std::chrono::milliseconds{replica.heard_ms} + (now - replica.last_heard);
+/// How long ago the replica last heard from its primary, including the time since its own heartbeat.
+std::chrono::steady_clock::duration time_since_primary_contact(const instance_view& replica, time_point now) {
+    return std::chrono::milliseconds{replica.primary_contact_age_ms} + (now - replica.last_heartbeat_at);
 }
 
 } // namespace
 
-verdict judge(std::span<const instance_view* const> members, time_point now) {
-    const auto* primary = answering_primary(members, now);
-    const auto timeout = primary != nullptr ? isolation_timeout : silence_timeout;
-    std::size_t answering = 0;
-    std::size_t deaf = 0;
-    std::size_t staying = 0;
+primary_status assess_primary(std::span<const instance_view* const> members, time_point now) {
+    const auto* primary = responsive_primary(members, now);
+    const auto timeout = primary != nullptr ? isolation_timeout : unresponsive_timeout;
+    std::size_t responsive = 0;
+    std::size_t out_of_contact = 0;
+    std::size_t not_leaving = 0;
     for (const auto* item : members) {
         if (item->primary || !item->healthy(now)) {
             continue;
         }
-        ++answering;
-        deaf += unheard(*item, now) > timeout ? 1 : 0;
-        staying += item->leaving_since ? 0 : 1;
+        ++responsive;
+        out_of_contact += time_since_primary_contact(*item, now) > timeout ? 1 : 0;
+        not_leaving += item->leaving_since ? 0 : 1;
     }
-    const bool nobody_hears = answering > 0 && deaf == answering;
-    if (primary == nullptr && nobody_hears) {
-        return verdict::lost;
+    const bool no_replica_in_contact = responsive > 0 && out_of_contact == responsive;
+    if (primary == nullptr && no_replica_in_contact) {
+        return primary_status::lost;
     }
     if (primary == nullptr) {
-        return answering > 0 ? verdict::unreachable : verdict::keep;
+        return responsive > 0 ? primary_status::unreachable : primary_status::serving;
     }
     const auto majority = majority_of(members.size());
-    if (nobody_hears && deaf >= majority) {
-        return verdict::lost;
+    if (no_replica_in_contact && out_of_contact >= majority) {
+        return primary_status::lost;
     }
-    if (primary->leaving_since && staying >= majority) {
-        return verdict::leaving;
+    if (primary->leaving_since && not_leaving >= majority) {
+        return primary_status::leaving;
     }
-    return verdict::keep;
+    return primary_status::serving;
 }
 
-bool peers_agree(std::span<const peer_word> words) {
-    const auto answered = words.size() - static_cast<std::size_t>(std::ranges::count(words, peer_word::no_answer));
-    const bool heard = std::ranges::find(words, peer_word::hears_it) != words.end();
-    return !heard && answered + 1 >= majority_of(words.size() + 1);
+bool peers_confirm_unreachable(std::span<const primary_observation> observations) {
+    const auto answered = observations.size() -
+                          static_cast<std::size_t>(std::ranges::count(observations, primary_observation::no_answer));
+    const bool seen_by_peer = std::ranges::find(observations, primary_observation::reachable) != observations.end();
+    return !seen_by_peer && answered + 1 >= majority_of(observations.size() + 1);
 }
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/primary_health.hpp
+++ b/src/cornellever/proxy/primary_health.hpp
@@ -7,40 +7,39 @@
 
 namespace cornellever::proxy {
 
-/// What to do about a database's primary.
-enum class verdict {
-    /// A primary answers and replicas hear it, or too little is known.
-    keep,
+/// The state of a database's primary as seen by this proxy.
+enum class primary_status {
+    /// A primary answers and is in contact with its replicas, or too little is known to decide.
+    serving,
     /// No primary answers, or the one that does is cut off from its replicas.
     lost,
-    /// The primary's machine is leaving and others stay.
+    /// The primary's machine is leaving, and a majority of the members can continue without it.
     leaving,
-    /// No primary answers this proxy, but a replica hears one: lost only if
-    /// the other proxies cannot reach it either.
+    /// No primary answers this proxy, but a replica is in contact with one: it is lost only if the other proxies
+    /// cannot reach it either.
     unreachable,
 };
 
-/// How long replicas must not have heard a primary that still answers this
-/// proxy before it counts as cut off from them.
+/// A primary that still answers this proxy counts as cut off once its replicas have been without contact to it for
+/// this long.
 inline constexpr auto isolation_timeout = std::chrono::milliseconds{1500};
 
-/// The same when the primary does not answer this proxy either.
-inline constexpr auto silence_timeout = std::chrono::milliseconds{400};
+/// The same for a primary that does not answer this proxy either.
+inline constexpr auto unresponsive_timeout = std::chrono::milliseconds{400};
 
-/// Judges the primary of one database from what its members last said.
+/// Assesses the primary of one database from the last heartbeats of its members.
 ///
-/// A proxy that alone cannot reach a primary must not replace it: as long as
-/// a replica hears the primary, others may be served through it. And a
-/// primary that answers callers but no replica can never acknowledge a
-/// write again, so it is replaced though its heartbeats look well.
-[[nodiscard]] verdict judge(std::span<const instance_view* const> members, std::chrono::steady_clock::time_point now);
-
-/// What another proxy said of a primary this one cannot reach.
-enum class peer_word { hears_it, does_not, no_answer };
-
-/// Whether a primary that is unreachable from here is so for the proxies at
-/// large: none of `words` hears it, and those that answered are, with this
-/// proxy, a majority of all proxies.
-[[nodiscard]] bool peers_agree(std::span<const peer_word> words);
+/// A proxy that is the only one cut off from a primary must not replace it: while a replica is in contact with the
+/// primary, other proxies may be using it. Conversely, a primary that answers callers but has lost all its replicas
+/// can never acknowledge a write again, so it is replaced although its heartbeats succeed.
+[[nodiscard]] primary_status assess_primary(std::span<const instance_view* const> members,
+                                            std::chrono::steady_clock::time_point now);
+
+/// Another proxy's observation of a primary that this proxy cannot reach.
+enum class primary_observation { reachable, not_reachable, no_answer };
+
+/// Whether the other proxies confirm that a primary unreachable for this proxy is unreachable in general: none of them
+/// reaches it, and those that answered, together with this proxy, are a majority of all proxies.
+[[nodiscard]] bool peers_confirm_unreachable(std::span<const primary_observation> observations);
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/primary_monitor.hpp
+++ b/src/cornellever/proxy/primary_monitor.hpp
@@ -19,53 +19,52 @@
 
 namespace cornellever::proxy {
 
-/// Periods and deadlines of keeping primaries.
-struct keeper_limits {
-    std::chrono::milliseconds judge_every{50};
+/// Intervals and deadlines of monitoring primaries.
+struct monitor_limits {
+    std::chrono::milliseconds check_interval{50};
     std::chrono::milliseconds call_deadline{400};
-    /// How long a primary that a replica hears must not answer this proxy
-    /// before the other proxies are asked about it.
-    std::chrono::milliseconds unreachable_for{1000};
+    /// How long a primary that a replica is in contact with must be unreachable before the other proxies are asked
+    /// about it.
+    std::chrono::milliseconds unreachable_timeout{1000};
 };
 
-/// Sees to it that every database has a primary: judges each from what
-/// heartbeats say and replaces one that is lost, leaving, or out of reach of
-/// all proxies.
-class primary_keeper {
+/// Monitors the primary of every database by its heartbeats and fails over when it is lost, leaving, or unreachable
+/// for a majority of the proxies.
+class primary_monitor {
 public:
     using clock = std::chrono::steady_clock;
 
-    /// Reads `known`; `on_promoted` is called with a heartbeat of each new
-    /// primary, before its own next one arrives. `peers` are other proxies.
-    primary_keeper(const asio::any_io_executor& executor, const topology& known, const tcp::endpoint& platform,
-                   std::vector<tcp::endpoint> peers, std::string name, const chart& failover_steps,
-                   keeper_limits limits, std::function<void(const heartbeat&)> on_promoted);
+    /// Reads `current_topology`. `on_promoted` is called with a synthetic heartbeat of each new primary, before its
+    /// first real one arrives. `peers` are the other proxies.
+    primary_monitor(const asio::any_io_executor& executor, const topology& current_topology,
+                    const tcp::endpoint& platform, std::vector<tcp::endpoint> peers, std::string name,
+                    const chart& failover_steps, monitor_limits limits,
+                    std::function<void(const heartbeat&)> on_promoted);
 
-    /// Judges the databases of `config` for ever; `config` may change between
-    /// judgements.
+    /// Checks the databases of `config` periodically; `config` may change between checks.
     asio::awaitable<void> run(const config::cluster& config);
 
 private:
-    void watch(const std::string& service, const std::string& database, clock::time_point now);
-    asio::awaitable<void> replace_unreachable(std::string service, std::string database);
-    asio::awaitable<std::vector<peer_word>> ask_about_primary(const std::string& service, const std::string& database);
+    void check_primary(const std::string& service, const std::string& database, clock::time_point now);
+    asio::awaitable<void> replace_if_peers_agree(std::string service, std::string database);
+    asio::awaitable<std::vector<primary_observation>> query_peers(const std::string& service,
+                                                                  const std::string& database);
     asio::awaitable<void> replace(std::string service, std::string database, bool planned);
-    asio::awaitable<void> finish(const std::string& database, const failover_outcome& outcome);
+    asio::awaitable<void> handle_outcome(const std::string& database, const failover_outcome& outcome);
 
     asio::any_io_executor m_executor;
-    const topology& m_known;
+    const topology& m_topology;
     std::vector<tcp::endpoint> m_peers;
-    keeper_limits m_limits;
+    monitor_limits m_limits;
     platform_store m_store;
     backend_group m_group;
     failover<platform_store, backend_group> m_failover;
     std::function<void(const heartbeat&)> m_on_promoted;
-    /// Databases whose primary is being replaced, and the pause after a try
-    /// that did not replace it, during which they stay listed.
+    /// Databases with a failover in progress or in its backoff after a failed attempt.
     std::set<std::string> m_replacing;
-    std::map<std::string, backoff> m_retries;
-    /// Since when a database's primary is unreachable from here.
-    std::map<std::string, clock::time_point> m_unreachable;
+    std::map<std::string, backoff> m_backoffs;
+    /// When a database's primary became unreachable for this proxy.
+    std::map<std::string, clock::time_point> m_unreachable_since;
 };
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/read_path.cpp
+++ b/src/cornellever/proxy/read_path.cpp
@@ -9,20 +9,18 @@
 
 namespace {
 
-/// Most replicas tried in one round.
-constexpr std::size_t max_replica_tries = 2;
+/// Most replicas tried per round.
+constexpr std::size_t max_replica_attempts = 2;
 
-/// Pause between rounds while waiting for a replica to catch up, and
-/// between tries on a primary that refused.
-constexpr auto round_pause = std::chrono::milliseconds{5};
-constexpr auto primary_pause = std::chrono::milliseconds{20};
+/// Pause between rounds while waiting for a replica to catch up, and between attempts on a primary that refused.
+constexpr auto catch_up_poll_interval = std::chrono::milliseconds{5};
+constexpr auto primary_retry_pause = std::chrono::milliseconds{20};
 
-/// A read that got no answer by then is sent to another instance: it
-/// changes nothing, so it may run twice.
-constexpr auto try_deadline = std::chrono::milliseconds{1000};
+/// A read without an answer by then is sent to another instance: it changes nothing, so it may run twice.
+constexpr auto attempt_deadline = std::chrono::milliseconds{1000};
 
-/// Errors of the statement itself, the same on every instance.
-bool is_final(const error& failure) {
+/// Errors of the statement itself, which are the same on every instance.
+bool is_statement_error(const error& failure) {
     return failure.code == errc::bad_request || failure.code == errc::conflict;
 }
 
@@ -31,44 +29,45 @@
 answer read_path::serve(const config::service& service, const execute_request& request, clock::time_point until) {
     ++m_reads;
     const auto wait_until = std::min(clock::now() + service.replica_wait, until);
-    const bool wrote = request.session.mark_of(database_key(request.service, request.database)).position > 0;
+    const bool wrote = request.session.last_write_to(database_key(request.service, request.database)).position > 0;
     for (;;) {
         auto out = co_await try_replicas(service, request, until);
         if (!out || !out->isNull()) {
             co_return out;
         }
-        // A session that never wrote has nothing for a replica to catch up with.
-        if (!wrote || clock::now() + round_pause >= wait_until) {
+        // A session without writes does not need a replica to catch up.
+        if (!wrote || clock::now() + catch_up_poll_interval >= wait_until) {
             break;
         }
-        co_await sleep_for(round_pause);
+        co_await sleep_for(catch_up_poll_interval);
     }
     ++m_fallbacks;
-    co_return co_await on_primary(request, until);
+    co_return co_await serve_from_primary(request, until);
 }
 
 answer read_path::try_replicas(const config::service& service, const execute_request& request,
                                clock::time_point until) {
     const auto key = database_key(request.service, request.database);
-    const auto mark = request.session.mark_of(key);
+    const auto last_write = request.session.last_write_to(key);
     auto payload = statement_payload(request);
-    payload["min_position"] = static_cast<Json::UInt64>(mark.position);
-    payload["min_term"] = static_cast<Json::UInt64>(mark.term);
+    payload["min_position"] = static_cast<Json::UInt64>(last_write.position);
+    payload["min_term"] = static_cast<Json::UInt64>(last_write.term);
     payload["max_staleness_ms"] = static_cast<Json::Int64>(service.max_staleness.count());
     std::vector<instance_view> candidates;
-    for (const auto* view : m_links.known().replicas(request.service, request.database, mark, m_zone, clock::now())) {
-        if (candidates.size() < max_replica_tries) {
+    for (const auto* view :
+         m_backends.known_instances().replicas(request.service, request.database, last_write, m_zone, clock::now())) {
+        if (candidates.size() < max_replica_attempts) {
             candidates.push_back(*view);
         }
     }
     for (const auto& replica : candidates) {
-        auto out = co_await m_links.call(replica, "execute", payload, m_links.limits().replica_pool_wait,
-                                         std::min(try_deadline, time_left(until)));
+        auto out = co_await m_backends.call(replica, "execute", payload, m_backends.limits().replica_pool_wait,
+                                            std::min(attempt_deadline, time_left(until)));
         if (out) {
             ++m_replica_reads;
             co_return statement_answer(*out, request.session, replica);
         }
-        if (is_final(out.error())) {
+        if (is_statement_error(out.error())) {
             co_return std::unexpected{out.error()};
         }
         log_event(event::replica_fallback,
@@ -77,27 +76,27 @@
     co_return Json::Value{};
 }
 
-answer read_path::on_primary(const execute_request& request, clock::time_point until) {
-    const auto mark = request.session.mark_of(database_key(request.service, request.database));
+answer read_path::serve_from_primary(const execute_request& request, clock::time_point until) {
+    const auto last_write = request.session.last_write_to(database_key(request.service, request.database));
     auto payload = statement_payload(request);
-    payload["min_term"] = static_cast<Json::UInt64>(mark.term);
+    payload["min_term"] = static_cast<Json::UInt64>(last_write.term);
     for (;;) {
-        auto target = co_await m_links.await_primary(request.service, request.database, until);
+        auto target = co_await m_backends.await_primary(request.service, request.database, until);
         if (!target) {
             co_return std::unexpected{target.error()};
         }
         payload["term"] = static_cast<Json::UInt64>(target->term);
-        auto out =
-            co_await m_links.call(*target, "execute", payload, std::min(m_links.limits().pool_wait, time_left(until)),
-                                  std::min(try_deadline, time_left(until)));
+        auto out = co_await m_backends.call(*target, "execute", payload,
+                                            std::min(m_backends.limits().pool_wait, time_left(until)),
+                                            std::min(attempt_deadline, time_left(until)));
         if (out) {
             co_return statement_answer(*out, request.session, *target);
         }
-        const bool again = worth_retrying(out.error()) || out.error().code == errc::outcome_unknown;
-        if (!again || clock::now() + primary_pause >= until) {
+        const bool retryable = is_retryable(out.error()) || out.error().code == errc::outcome_unknown;
+        if (!retryable || clock::now() + primary_retry_pause >= until) {
             co_return std::unexpected{out.error()};
         }
-        co_await sleep_for(primary_pause);
+        co_await sleep_for(primary_retry_pause);
     }
 }
 
--- a/src/cornellever/proxy/request_record.cpp
+++ b/src/cornellever/proxy/request_record.cpp
@@ -12,7 +12,7 @@
 constexpr auto insert_answer = "INSERT INTO cornellever_requests (request_id, answer, recorded_ms) VALUES (?, ?, ?)";
 constexpr auto delete_old = "DELETE FROM cornellever_requests WHERE recorded_ms < ?";
 
-/// Old records are deleted with one in this many new ones.
+/// Expired records are deleted once per this many new ones.
 constexpr std::uint64_t delete_every = 512;
 
 Json::Value statement(const char* sql) {
@@ -36,7 +36,7 @@
     if (m_tables.contains(here)) {
         co_return result<void>{};
     }
-    auto created = co_await backend_links::call_on(connection, "execute", statement(create_table), deadline);
+    auto created = co_await backend_connections::call_on(connection, "execute", statement(create_table), deadline);
     if (!created) {
         co_return std::unexpected{created.error()};
     }
@@ -52,7 +52,7 @@
     }
     auto query = statement(select_answer);
     query["params"].append(request_id);
-    auto found = co_await backend_links::call_on(connection, "execute", query, deadline);
+    auto found = co_await backend_connections::call_on(connection, "execute", query, deadline);
     if (!found) {
         co_return std::unexpected{found.error()};
     }
@@ -65,11 +65,11 @@
         co_return fail(errc::internal, "the recorded answer of request " + request_id + " is unreadable");
     }
     co_return std::optional{
-        outcome{std::move(*answer), write_mark{(*found)["term"].asUInt64(), (*found)["position"].asUInt64()}}};
+        outcome{std::move(*answer), term_position{(*found)["term"].asUInt64(), (*found)["position"].asUInt64()}}};
 }
 
 void request_record::note_committed(const instance_view& primary) {
-    // For this term only: a failover may lose an unconfirmed table.
+    // Valid for this term only: a failover may lose a table whose creation was not confirmed.
     m_tables.emplace(database_key(primary.service, primary.database), primary.term);
 }
 
@@ -79,12 +79,12 @@
     insert["params"].append(request_id);
     insert["params"].append(rpc::to_text(answer));
     insert["params"].append(static_cast<Json::Int64>(now_ms()));
-    auto added = co_await backend_links::call_on(connection, "execute", insert, deadline);
+    auto added = co_await backend_connections::call_on(connection, "execute", insert, deadline);
     if (added && ++m_added % delete_every == 0) {
         auto old = statement(delete_old);
-        const auto keep = std::chrono::duration_cast<std::chrono::milliseconds>(remember_requests).count();
-        old["params"].append(static_cast<Json::Int64>(now_ms() - keep));
-        added = co_await backend_links::call_on(connection, "execute", old, deadline);
+        const auto retention_ms = std::chrono::duration_cast<std::chrono::milliseconds>(request_id_retention).count();
+        old["params"].append(static_cast<Json::Int64>(now_ms() - retention_ms));
+        added = co_await backend_connections::call_on(connection, "execute", old, deadline);
     }
     if (!added) {
         co_return std::unexpected{added.error()};
--- a/src/cornellever/proxy/router.cpp
+++ b/src/cornellever/proxy/router.cpp
@@ -11,9 +11,9 @@
 
 constexpr auto draining_retry_after = std::chrono::milliseconds{100};
 
-/// Refuses, before anything runs, a request that the service says may never
-/// be repeated but that carries no id to recognise a repetition by.
-result<void> check_repeatable(const config::service& service, const std::string& kind, const std::string& request_id) {
+/// Refuses, before anything runs, a request of a kind that must not be repeated if it has no request id by which a
+/// repetition would be recognised.
+result<void> check_request_id(const config::service& service, const std::string& kind, const std::string& request_id) {
     if (request_id.empty() && std::ranges::find(service.non_repeatable, kind) != service.non_repeatable.end()) {
         return fail(errc::bad_request, "'" + kind + "' may not be repeated: give it a request_id");
     }
@@ -22,13 +22,13 @@
 
 } // namespace
 
-router::router(asio::any_io_executor executor, std::string name, std::string zone, link_limits limits)
+router::router(asio::any_io_executor executor, std::string name, std::string zone, connection_limits limits)
     : m_name{std::move(name)}
     , m_zone{std::move(zone)}
-    , m_links{std::move(executor), limits}
-    , m_reads{m_links, m_zone}
-    , m_writes{m_links}
-    , m_transactions{m_links, m_writes} {}
+    , m_backends{std::move(executor), limits}
+    , m_reads{m_backends, m_zone}
+    , m_writes{m_backends}
+    , m_transactions{m_backends, m_writes} {}
 
 void router::bind(rpc::server& rpc) {
     rpc.on("execute", [this](const Json::Value& in, rpc::connection& caller) { return execute(in, caller); });
@@ -36,7 +36,7 @@
     rpc.on("commit", [this](const Json::Value& in, rpc::connection& caller) { return finish(in, caller, true); });
     rpc.on("rollback", [this](const Json::Value& in, rpc::connection& caller) { return finish(in, caller, false); });
     rpc.on("config.current", [this](const Json::Value&, rpc::connection&) { return current_config(); });
-    rpc.on("primary.heard", [this](const Json::Value& in, rpc::connection&) { return primary_heard(in); });
+    rpc.on("primary.heard", [this](const Json::Value& in, rpc::connection&) { return primary_reachable(in); });
     rpc.on("ready", [this](const Json::Value&, rpc::connection&) { return ready(); });
     rpc.on("dump", [this](const Json::Value&, rpc::connection&) -> answer { co_return describe(); });
 }
@@ -46,7 +46,7 @@
         return;
     }
     m_config = std::move(config);
-    m_links.update(m_config);
+    m_backends.update(m_config);
 }
 
 result<config::service> router::admit(const std::string& service, const std::string& database, const std::string& kind,
@@ -61,7 +61,7 @@
     if (config::find_database(*found, database) == nullptr) {
         return fail(errc::not_found, "service '" + service + "' has no database '" + database + "'");
     }
-    if (auto allowed = check_repeatable(*found, kind, request_id); !allowed) {
+    if (auto allowed = check_request_id(*found, kind, request_id); !allowed) {
         return std::unexpected{allowed.error()};
     }
     return *found;
@@ -91,7 +91,7 @@
         co_return out;
     }
     if (!request.request_id.empty()) {
-        auto out = co_await m_writes.serve_once(request, until);
+        auto out = co_await m_writes.serve_idempotent(request, until);
         m_write_latency.record(clock::now() - started);
         co_return out;
     }
@@ -138,9 +138,9 @@
     co_return out;
 }
 
-answer router::primary_heard(const Json::Value& in) {
-    const auto* primary =
-        m_links.known().primary(rpc::text_field(in, "service"), rpc::text_field(in, "database"), clock::now());
+answer router::primary_reachable(const Json::Value& in) {
+    const auto* primary = m_backends.known_instances().primary(rpc::text_field(in, "service"),
+                                                               rpc::text_field(in, "database"), clock::now());
     Json::Value out;
     out["heard"] = primary != nullptr;
     co_return out;
@@ -162,8 +162,8 @@
     out["zone"] = m_zone;
     out["draining"] = m_draining;
     out["config_version"] = static_cast<Json::UInt64>(m_config.version);
-    out["instances"] = m_links.known().describe(clock::now());
-    out["links"] = m_links.describe();
+    out["instances"] = m_backends.known_instances().describe(clock::now());
+    out["links"] = m_backends.describe();
     out["transactions_open"] = static_cast<Json::UInt64>(m_transactions.open());
     out["latency"]["write"] = m_write_latency.describe();
     out["latency"]["read"] = m_read_latency.describe();
--- a/src/cornellever/proxy/router.hpp
+++ b/src/cornellever/proxy/router.hpp
@@ -17,37 +17,35 @@
 
 namespace cornellever::proxy {
 
-/// The traffic side of a proxy: decodes callers' requests, checks them
-/// against the configuration in force and hands them to the read path, the
-/// write path or the open transactions. Used from the traffic thread only.
+/// The traffic side of a proxy: decodes requests, checks them against the configuration in force and passes them to
+/// the read path, the write path or the transaction table. Used from the traffic thread only.
 class router {
 public:
     using clock = std::chrono::steady_clock;
 
-    router(asio::any_io_executor executor, std::string name, std::string zone, link_limits limits = {});
+    router(asio::any_io_executor executor, std::string name, std::string zone, connection_limits limits = {});
 
-    /// Registers `execute`, `begin`, `commit`, `rollback`, `ready`,
-    /// `config.current`, `primary.heard` and `dump`.
+    /// Registers `execute`, `begin`, `commit`, `rollback`, `ready`, `config.current`, `primary.heard` and `dump`.
     void bind(rpc::server& rpc);
 
-    /// Takes a newer configuration; an older or equal version is ignored.
+    /// Applies a newer configuration; an older or equal version is ignored.
     void update(config::cluster config);
 
-    /// Takes a heartbeat result from the control thread.
-    void record(const heartbeat& beat) { m_links.record(beat); }
+    /// Applies a heartbeat result from the control thread.
+    void record(const heartbeat& report) { m_backends.record(report); }
 
-    /// Takes the platform's list of machines from the control thread.
+    /// Applies the platform's list of machines from the control thread.
     void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
-        m_links.set_machines(leaving, proxies);
+        m_backends.set_machines(leaving, proxies);
     }
 
-    /// From now on new transactions are refused as not run.
+    /// From now on refuses new transactions as not run.
     void drain() { m_draining = true; }
 
-    /// Rolls back transactions whose caller has been silent too long.
+    /// Rolls back transactions that have been idle for too long.
     void sweep_abandoned() { m_transactions.sweep(); }
 
-    /// Open transactions, for a planned stop.
+    /// The number of open transactions, for a graceful shutdown.
     [[nodiscard]] std::size_t open_transactions() const noexcept { return m_transactions.open(); }
 
     /// The proxy's state for `dump`.
@@ -59,17 +57,17 @@
     answer finish(const Json::Value& in, rpc::connection& caller, bool commit);
     answer ready();
     answer current_config();
-    answer primary_heard(const Json::Value& in);
+    answer primary_reachable(const Json::Value& in);
     answer dispatch(const config::service& service, const execute_request& request, clock::time_point until);
-    /// The service a request names, when the request may go there. A copy: a
-    /// newer configuration may replace it while the request runs.
+    /// Looks up the service that a request names and checks that the request is allowed. Returns a copy because a
+    /// newer configuration may replace the service while the request runs.
     [[nodiscard]] result<config::service> admit(const std::string& service, const std::string& database,
                                                 const std::string& kind, const std::string& request_id) const;
 
     std::string m_name;
     std::string m_zone;
     config::cluster m_config;
-    backend_links m_links;
+    backend_connections m_backends;
     read_path m_reads;
     write_path m_writes;
     transaction_table m_transactions;
--- a/src/cornellever/proxy/session_token.hpp
+++ b/src/cornellever/proxy/session_token.hpp
@@ -11,17 +11,16 @@
 
 namespace cornellever::proxy {
 
-/// The state a session carries between requests, so that any proxy can
-/// give it read-your-writes: per database (`service/database`), the term
-/// and log position of its last write. Returned with every answer.
+/// The state that a session carries between requests, so that any proxy can provide read-your-writes: per database
+/// (`service/database`), the term and log position of its last write. Returned with every answer.
 struct session_token {
-    std::map<std::string, write_mark, std::less<>> marks;
+    std::map<std::string, term_position, std::less<>> last_writes;
 
-    /// The mark for `database`; a zero mark when the session never wrote there.
-    [[nodiscard]] write_mark mark_of(std::string_view database) const;
+    /// The session's last write to `database`; zero if there is none.
+    [[nodiscard]] term_position last_write_to(std::string_view database) const;
 
-    /// Raises the mark for `database` to `mark` when it is later.
-    void advance(std::string_view database, write_mark mark);
+    /// Raises the last write to `database` to `last_write` if that is later.
+    void advance(std::string_view database, term_position last_write);
 };
 
 /// The token as JSON: `{"service/database": {"term": T, "position": P}}`.
--- a/src/cornellever/proxy/topology.cpp
+++ b/src/cornellever/proxy/topology.cpp
@@ -23,16 +23,16 @@
                 view.zone = inst.zone;
                 view.connections = inst.connections;
                 (void)parse_endpoint(inst.address, view.address);
-                const auto known = m_instances.find(view.key);
-                if (known != m_instances.end() && known->second.address == view.address) {
-                    view.primary = known->second.primary;
-                    view.term = known->second.term;
-                    view.position = known->second.position;
-                    view.refused = known->second.refused;
-                    view.staleness_ms = known->second.staleness_ms;
-                    view.heard_ms = known->second.heard_ms;
-                    view.leaving_since = known->second.leaving_since;
-                    view.last_heard = known->second.last_heard;
+                const auto previous = m_instances.find(view.key);
+                if (previous != m_instances.end() && previous->second.address == view.address) {
+                    view.primary = previous->second.primary;
+                    view.term = previous->second.term;
+                    view.position = previous->second.position;
+                    view.refused = previous->second.refused;
+                    view.staleness_ms = previous->second.staleness_ms;
+                    view.primary_contact_age_ms = previous->second.primary_contact_age_ms;
+                    view.leaving_since = previous->second.leaving_since;
+                    view.last_heartbeat_at = previous->second.last_heartbeat_at;
                 }
                 next.emplace(view.key, std::move(view));
             }
@@ -41,22 +41,22 @@
     m_instances = std::move(next);
 }
 
-void topology::record(const heartbeat& beat, std::chrono::steady_clock::time_point now) {
-    const auto found = m_instances.find(beat.key);
+void topology::record(const heartbeat& report, std::chrono::steady_clock::time_point now) {
+    const auto found = m_instances.find(report.key);
     if (found == m_instances.end()) {
         return;
     }
     auto& view = found->second;
-    view.refused = beat.refused;
-    if (!beat.answered) {
+    view.refused = report.refused;
+    if (!report.answered) {
         return;
     }
-    view.primary = beat.primary;
-    view.term = beat.term;
-    view.position = beat.position;
-    view.staleness_ms = beat.staleness_ms;
-    view.heard_ms = beat.heard_ms;
-    view.last_heard = now;
+    view.primary = report.primary;
+    view.term = report.term;
+    view.position = report.position;
+    view.staleness_ms = report.staleness_ms;
+    view.primary_contact_age_ms = report.primary_contact_age_ms;
+    view.last_heartbeat_at = now;
 }
 
 void topology::set_leaving(const std::set<std::string, std::less<>>& leaving,
@@ -77,7 +77,7 @@
     const instance_view* best = nullptr;
     for (const auto& [key, view] : m_instances) {
         if (view.service != service || view.database != database || !view.primary || !view.healthy(now) ||
-            !view.takes_work(now)) {
+            !view.accepts_new_work(now)) {
             continue;
         }
         if (best == nullptr || view.term > best->term) {
@@ -88,13 +88,13 @@
 }
 
 std::vector<const instance_view*> topology::replicas(std::string_view service, std::string_view database,
-                                                     write_mark mark, std::string_view zone,
+                                                     term_position last_write, std::string_view zone,
                                                      std::chrono::steady_clock::time_point now) const {
     auto out = members(service, database);
-    std::erase_if(out,
-                  [&](const auto* view) { return view->primary || !view->healthy(now) || !view->takes_work(now); });
+    std::erase_if(
+        out, [&](const auto* view) { return view->primary || !view->healthy(now) || !view->accepts_new_work(now); });
     const auto rank = [&](const instance_view* view) {
-        return std::pair{view->term >= mark.term && view->position >= mark.position, view->zone == zone};
+        return std::pair{view->term >= last_write.term && view->position >= last_write.position, view->zone == zone};
     };
     std::ranges::stable_sort(out, [&](const auto* left, const auto* right) { return rank(left) > rank(right); });
     return out;
--- a/src/cornellever/proxy/transaction_table.cpp
+++ b/src/cornellever/proxy/transaction_table.cpp
@@ -10,9 +10,9 @@
 
 constexpr auto retry_pause = std::chrono::milliseconds{20};
 
-/// Whether only the record of request ids can tell what became of a commit:
-/// its outcome is unknown, or its id was found taken.
-bool needs_record(const error& failure) noexcept {
+/// Whether the outcome of a commit can be learnt only from the record of request ids: the answer was lost, or the id
+/// was already recorded.
+bool outcome_needs_record(const error& failure) noexcept {
     return !ran_not(failure.code) || failure.code == errc::conflict;
 }
 
@@ -24,10 +24,10 @@
 
 } // namespace
 
-/// Lives as long as the caller's connection and takes its transactions along.
+/// Lives as long as the caller's connection and rolls back its transactions on destruction.
 struct transaction_table::caller_state : rpc::connection_state {
     caller_state(transaction_table& table, std::uint64_t caller) : m_table{table}, m_caller{caller} {}
-    ~caller_state() override { m_table.abandon_all_of(m_caller); }
+    ~caller_state() override { m_table.roll_back_all_of(m_caller); }
     caller_state(const caller_state&) = delete;
     caller_state& operator=(const caller_state&) = delete;
 
@@ -36,7 +36,8 @@
     std::uint64_t m_caller;
 };
 
-result<transaction_table::pinned*> transaction_table::find(const std::string& id, const rpc::connection& caller) {
+result<transaction_table::pinned_transaction*> transaction_table::find(const std::string& id,
+                                                                       const rpc::connection& caller) {
     const auto found = m_open.find(id);
     if (found == m_open.end() || found->second.caller != caller.id) {
         return not_open(id);
@@ -47,27 +48,28 @@
     return &found->second;
 }
 
-result<transaction_table::pinned> transaction_table::take(const std::string& id, const rpc::connection& caller) {
-    auto held = find(id, caller);
-    if (!held) {
-        return std::unexpected{held.error()};
+result<transaction_table::pinned_transaction> transaction_table::extract(const std::string& id,
+                                                                         const rpc::connection& caller) {
+    auto found = find(id, caller);
+    if (!found) {
+        return std::unexpected{found.error()};
     }
-    auto out = std::move(**held);
+    auto out = std::move(**found);
     m_open.erase(id);
     return out;
 }
 
-void transaction_table::abandon_all_of(std::uint64_t caller) {
+void transaction_table::roll_back_all_of(std::uint64_t caller) {
     std::erase_if(m_open, [&](const auto& item) {
-        const auto& [id, held] = item;
-        if (held.caller == caller) {
+        const auto& [id, transaction] = item;
+        if (transaction.caller == caller) {
             log_event(event::transaction_abandoned, "transaction=" + id + " reason=caller_gone");
         }
-        return held.caller == caller;
+        return transaction.caller == caller;
     });
 }
 
-std::string transaction_table::keep(pinned opened, rpc::connection& caller) {
+std::string transaction_table::insert(pinned_transaction opened, rpc::connection& caller) {
     if (!caller.state) {
         caller.state = std::make_unique<caller_state>(*this, caller.id);
     }
@@ -87,22 +89,22 @@
         }
     }
     for (;;) {
-        auto target = co_await m_links.await_primary(request.service, request.database, until);
+        auto target = co_await m_backends.await_primary(request.service, request.database, until);
         if (!target) {
             co_return std::unexpected{target.error()};
         }
-        auto opened = co_await m_links.begin(*target, until, request.deadline);
+        auto opened = co_await m_backends.begin(*target, until, request.deadline);
         if (opened) {
-            const auto id = keep(pinned{caller.id, *target, std::move(*opened), request.request_id,
-                                        service.transaction_idle, clock::now()},
-                                 caller);
+            const auto id = insert(pinned_transaction{caller.id, *target, std::move(*opened), request.request_id,
+                                                      service.transaction_idle, clock::now()},
+                                   caller);
             Json::Value out;
             out["transaction"] = id;
             out["session"] = to_json(request.session);
             out["served_by"] = served_by(*target);
             co_return out;
         }
-        if (!worth_retrying(opened.error()) || clock::now() + retry_pause >= until) {
+        if (!is_retryable(opened.error()) || clock::now() + retry_pause >= until) {
             co_return std::unexpected{opened.error()};
         }
         co_await sleep_for(retry_pause);
@@ -111,33 +113,33 @@
 
 answer transaction_table::execute(const execute_request& request, const rpc::connection& caller,
                                   clock::time_point until) {
-    auto held = find(request.transaction, caller);
-    if (!held) {
-        co_return std::unexpected{held.error()};
+    auto found = find(request.transaction, caller);
+    if (!found) {
+        co_return std::unexpected{found.error()};
     }
-    auto& transaction = **held;
+    auto& transaction = **found;
     transaction.busy = true;
-    auto out = co_await backend_links::call_on(transaction.connection, "execute", statement_payload(request),
-                                               std::min(write_try_deadline, time_left(until)));
+    auto out = co_await backend_connections::call_on(transaction.connection, "execute", statement_payload(request),
+                                                     std::min(write_attempt_deadline, time_left(until)));
     transaction.busy = false;
     transaction.last_used = clock::now();
     if (out && out->isObject() && (*out)["in_transaction"] == false) {
-        // The backend had ended the transaction (a restart, a change of
-        // role) and ran this statement by itself: never what its caller asked.
+        // The backend had ended the transaction (a restart, a change of role) and ran this statement outside of it,
+        // which the caller did not ask for.
         m_open.erase(request.transaction);
         co_return fail(errc::outcome_unknown,
                        "transaction " + request.transaction + " had ended when this statement ran");
     }
     if (out) {
         auto served = statement_answer(*out, request.session, transaction.primary);
-        served.removeMember("served_by"); // `begin` said it
+        served.removeMember("served_by"); // `begin` already returned it
         served["transaction"] = request.transaction;
         co_return served;
     }
-    const bool over = !transaction.connection->usable() || out.error().code == errc::fenced;
-    if (over) {
-        // COMMIT was never sent, and the backend rolls back a transaction
-        // whose connection closed or whose primary was replaced.
+    const bool ended = !transaction.connection->usable() || out.error().code == errc::fenced;
+    if (ended) {
+        // COMMIT was never sent, and the backend rolls back a transaction whose connection was closed or whose primary
+        // was replaced.
         m_open.erase(request.transaction);
         co_return fail(errc::not_run,
                        "transaction " + request.transaction + " was rolled back: " + out.error().message);
@@ -147,15 +149,15 @@
 
 answer transaction_table::commit(const finish_request& request, const rpc::connection& caller,
                                  clock::time_point until) {
-    auto taken = take(request.transaction, caller);
+    auto taken = extract(request.transaction, caller);
     if (!taken) {
         co_return std::unexpected{taken.error()};
     }
-    auto held = std::move(*taken);
+    auto transaction = std::move(*taken);
     auto token = request.session;
-    auto done = co_await commit_held(held, token, until);
-    if (!done && !held.request_id.empty() && needs_record(done.error())) {
-        done = co_await settle_by_record(held, done.error(), token, until);
+    auto done = co_await commit_pinned(transaction, token, until);
+    if (!done && !transaction.request_id.empty() && outcome_needs_record(done.error())) {
+        done = co_await resolve_by_record(transaction, done.error(), token, until);
     }
     if (!done) {
         co_return std::unexpected{done.error()};
@@ -165,51 +167,52 @@
     co_return out;
 }
 
-asio::awaitable<result<void>> transaction_table::commit_held(pinned& held, session_token& token,
-                                                             clock::time_point until) {
-    if (!held.request_id.empty()) {
-        auto added = co_await m_writes.record().add(held.connection, held.request_id, Json::Value{Json::objectValue},
-                                                    time_left(until));
+asio::awaitable<result<void>> transaction_table::commit_pinned(pinned_transaction& transaction, session_token& token,
+                                                               clock::time_point until) {
+    if (!transaction.request_id.empty()) {
+        auto added = co_await m_writes.record().add(transaction.connection, transaction.request_id,
+                                                    Json::Value{Json::objectValue}, time_left(until));
         if (!added) {
-            held.connection.discard();
-            // A conflict means the same id committed elsewhere meanwhile.
+            transaction.connection.discard();
+            // A conflict means that the same id was committed elsewhere in the meantime.
             const auto code = added.error().code == errc::conflict ? errc::conflict : errc::not_run;
             co_return fail(code, "the transaction was rolled back: " + added.error().message);
         }
     }
-    auto committed = co_await backend_links::call_on(held.connection, "commit", Json::Value{Json::objectValue},
-                                                     std::min(write_try_deadline, time_left(until)));
-    held.connection.release();
+    auto committed =
+        co_await backend_connections::call_on(transaction.connection, "commit", Json::Value{Json::objectValue},
+                                              std::min(write_attempt_deadline, time_left(until)));
+    transaction.connection.release();
     if (!committed) {
         co_return std::unexpected{committed.error()};
     }
     if (!(*committed)["wrote"].asBool()) {
         co_return result<void>{};
     }
-    co_return co_await m_writes.acknowledge(held.primary, mark_from(*committed), token, until);
+    co_return co_await m_writes.acknowledge(transaction.primary, position_from(*committed), token, until);
 }
 
-asio::awaitable<result<void>> transaction_table::settle_by_record(const pinned& held, error doubt, session_token& token,
-                                                                  clock::time_point until) {
-    auto outcome =
-        co_await m_writes.outcome_of(held.primary.service, held.primary.database, held.request_id, token, until);
+asio::awaitable<result<void>> transaction_table::resolve_by_record(const pinned_transaction& transaction, error cause,
+                                                                   session_token& token, clock::time_point until) {
+    auto outcome = co_await m_writes.outcome_of(transaction.primary.service, transaction.primary.database,
+                                                transaction.request_id, token, until);
     if (!outcome) {
         co_return std::unexpected{outcome.error()};
     }
     if (outcome->isNull()) {
-        co_return fail(errc::not_run, "the commit did not take effect: " + doubt.message);
+        co_return fail(errc::not_run, "the commit did not take effect: " + cause.message);
     }
     co_return result<void>{};
 }
 
 answer transaction_table::rollback(const finish_request& request, const rpc::connection& caller,
                                    clock::time_point until) {
-    auto taken = take(request.transaction, caller);
+    auto taken = extract(request.transaction, caller);
     if (!taken) {
         co_return std::unexpected{taken.error()};
     }
-    auto held = std::move(*taken);
-    co_await backend_links::undo(held.connection, time_left(until));
+    auto transaction = std::move(*taken);
+    co_await backend_connections::roll_back(transaction.connection, time_left(until));
     Json::Value out;
     out["session"] = to_json(request.session);
     co_return out;
@@ -218,11 +221,11 @@
 void transaction_table::sweep() {
     const auto now = clock::now();
     std::erase_if(m_open, [&](const auto& item) {
-        const auto& [id, held] = item;
-        const bool abandoned = !held.busy && now - held.last_used >= held.idle_limit;
+        const auto& [id, transaction] = item;
+        const bool abandoned = !transaction.busy && now - transaction.last_used >= transaction.idle_limit;
         if (abandoned) {
-            // Erasing closes the pinned connection, so the backend rolls the
-            // transaction back before anyone else can get that connection.
+            // Erasing closes the pinned connection, so the backend rolls the transaction back before that connection
+            // could be reused.
             log_event(event::transaction_abandoned, "transaction=" + id + " reason=idle");
         }
         return abandoned;
--- a/src/cornellever/proxy/transaction_table.hpp
+++ b/src/cornellever/proxy/transaction_table.hpp
@@ -12,15 +12,14 @@
 
 namespace cornellever::proxy {
 
-/// Callers' open transactions, each pinned to one backend connection that no
-/// other caller gets until it ended, and to the caller connection that began
-/// it: no other connection can speak in it, and when the caller vanishes it
-/// is rolled back at once rather than holding its locks until it times out.
+/// The open transactions of callers. Each is pinned to one backend connection, which no other request uses until the
+/// transaction ends, and to the caller connection that began it. No other connection can run statements in it, and
+/// when the caller disconnects it is rolled back at once instead of holding its locks until a timeout.
 class transaction_table {
 public:
     using clock = std::chrono::steady_clock;
 
-    transaction_table(backend_links& links, write_path& writes) : m_links{links}, m_writes{writes} {}
+    transaction_table(backend_connections& backends, write_path& writes) : m_backends{backends}, m_writes{writes} {}
 
     /// Opens a transaction on the primary by `until`.
     answer begin(const config::service& service, const begin_request& request, rpc::connection& caller,
@@ -33,16 +32,16 @@
     answer commit(const finish_request& request, const rpc::connection& caller, clock::time_point until);
     answer rollback(const finish_request& request, const rpc::connection& caller, clock::time_point until);
 
-    /// Rolls back transactions whose caller has been silent too long.
+    /// Rolls back transactions that have been idle for too long.
     void sweep();
 
-    /// Transactions open.
+    /// The number of open transactions.
     [[nodiscard]] std::size_t open() const noexcept { return m_open.size(); }
 
 private:
     struct caller_state;
 
-    struct pinned {
+    struct pinned_transaction {
         std::uint64_t caller;
         instance_view primary;
         pooled_connection connection;
@@ -52,17 +51,18 @@
         bool busy{false};
     };
 
-    [[nodiscard]] std::string keep(pinned opened, rpc::connection& caller);
-    asio::awaitable<result<void>> commit_held(pinned& held, session_token& token, clock::time_point until);
-    asio::awaitable<result<void>> settle_by_record(const pinned& held, error doubt, session_token& token,
-                                                   clock::time_point until);
-    [[nodiscard]] result<pinned*> find(const std::string& id, const rpc::connection& caller);
-    [[nodiscard]] result<pinned> take(const std::string& id, const rpc::connection& caller);
-    void abandon_all_of(std::uint64_t caller);
+    [[nodiscard]] std::string insert(pinned_transaction opened, rpc::connection& caller);
+    asio::awaitable<result<void>> commit_pinned(pinned_transaction& transaction, session_token& token,
+                                                clock::time_point until);
+    asio::awaitable<result<void>> resolve_by_record(const pinned_transaction& transaction, error cause,
+                                                    session_token& token, clock::time_point until);
+    [[nodiscard]] result<pinned_transaction*> find(const std::string& id, const rpc::connection& caller);
+    [[nodiscard]] result<pinned_transaction> extract(const std::string& id, const rpc::connection& caller);
+    void roll_back_all_of(std::uint64_t caller);
 
-    backend_links& m_links;
+    backend_connections& m_backends;
     write_path& m_writes;
-    std::map<std::string, pinned, std::less<>> m_open;
+    std::map<std::string, pinned_transaction, std::less<>> m_open;
     std::uint64_t m_next_id{1};
 };
 
--- a/src/cornellever/proxy/write_path.cpp
+++ b/src/cornellever/proxy/write_path.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-/// Pause before what was certainly not run is sent again.
+/// Pause before a request that certainly did not run is retried.
 constexpr auto retry_pause = std::chrono::milliseconds{20};
 
-constexpr auto confirm_wait = std::chrono::milliseconds{2000};
-constexpr auto doubt_retry_after = std::chrono::milliseconds{1000};
+constexpr auto confirmation_timeout = std::chrono::milliseconds{2000};
+constexpr auto unknown_outcome_retry_after = std::chrono::milliseconds{1000};
 
-std::chrono::milliseconds try_time(std::chrono::steady_clock::time_point until) {
-    return std::min(write_try_deadline, time_left(until));
+std::chrono::milliseconds attempt_time(std::chrono::steady_clock::time_point until) {
+    return std::min(write_attempt_deadline, time_left(until));
 }
 
-/// The error of a step before COMMIT was sent. Closing the connection makes
-/// the backend roll back, so even a step without an answer has not run.
-error before_commit(const error& failure) {
+/// Maps an error before COMMIT was sent. Closing the connection makes the backend roll back, so even a step without an
+/// answer has not taken effect.
+error as_not_committed(const error& failure) {
     if (ran_not(failure.code)) {
         return failure;
     }
@@ -29,43 +29,45 @@
 
 } // namespace
 
-asio::awaitable<result<void>> write_path::acknowledge(const instance_view& primary, write_mark mark,
+asio::awaitable<result<void>> write_path::acknowledge(const instance_view& primary, term_position entry,
                                                       session_token& token, clock::time_point until) {
-    until = std::min(until, clock::now() + confirm_wait);
-    auto confirmed = co_await m_links.confirm(primary, mark, time_left(until));
+    until = std::min(until, clock::now() + confirmation_timeout);
+    auto confirmed = co_await m_backends.confirm(primary, entry, time_left(until));
     if (!confirmed) {
-        const auto fields = "instance=" + primary.key + " term=" + std::to_string(mark.term) +
-                            " position=" + std::to_string(mark.position);
-        auto kept = co_await outlived(primary, mark, until);
-        if (!kept) {
+        const auto fields = "instance=" + primary.key + " term=" + std::to_string(entry.term) +
+                            " position=" + std::to_string(entry.position);
+        auto survived = co_await survived_failover(primary, entry, until);
+        if (!survived) {
             log_event(event::write_unconfirmed, fields);
             co_return confirmed;
         }
-        log_event(event::write_settled, fields + " outcome=" + (*kept ? "kept" : "dropped"));
-        if (!*kept) {
+        log_event(event::write_settled, fields + " outcome=" + (*survived ? "kept" : "dropped"));
+        if (!*survived) {
             co_return fail(errc::not_run, "the write was dropped when " + primary.key + " was replaced");
         }
     }
-    token.advance(database_key(primary.service, primary.database), mark);
+    token.advance(database_key(primary.service, primary.database), entry);
     co_return result<void>{};
 }
 
-asio::awaitable<result<bool>> write_path::outlived(const instance_view& replaced, write_mark mark,
-                                                   clock::time_point until) {
+asio::awaitable<result<bool>> write_path::survived_failover(const instance_view& replaced, term_position entry,
+                                                            clock::time_point until) {
     Json::Value payload;
-    payload["position"] = static_cast<Json::UInt64>(mark.position);
-    payload["entry_term"] = static_cast<Json::UInt64>(mark.term);
+    payload["position"] = static_cast<Json::UInt64>(entry.position);
+    payload["entry_term"] = static_cast<Json::UInt64>(entry.term);
     for (;;) {
-        auto leader = co_await m_links.await_primary(replaced.service, replaced.database, until, mark.term + 1);
-        if (!leader) {
-            co_return fail(errc::outcome_unknown, leader.error().message);
-        }
-        payload["term"] = static_cast<Json::UInt64>(leader->term);
-        auto found = co_await m_links.call(*leader, "find_entry", payload,
-                                           std::min(m_links.limits().pool_wait, time_left(until)), try_time(until));
-        // Its log is history only once a majority holds it: an entry of its
-        // own term stands at the end, so no later primary can lack it.
-        if (found && co_await m_links.confirm(*leader, mark_from(*found), time_left(until))) {
+        auto new_primary =
+            co_await m_backends.await_primary(replaced.service, replaced.database, until, entry.term + 1);
+        if (!new_primary) {
+            co_return fail(errc::outcome_unknown, new_primary.error().message);
+        }
+        payload["term"] = static_cast<Json::UInt64>(new_primary->term);
+        auto found =
+            co_await m_backends.call(*new_primary, "find_entry", payload,
+                                     std::min(m_backends.limits().pool_wait, time_left(until)), attempt_time(until));
+        // The new primary's log is final only once a majority holds it: it ends with an entry of its own term, so no
+        // later primary can lack it.
+        if (found && co_await m_backends.confirm(*new_primary, position_from(*found), time_left(until))) {
             co_return (*found)["held"].asBool();
         }
         if (clock::now() + retry_pause >= until) {
@@ -78,37 +80,38 @@
 answer write_path::serve(const execute_request& request, clock::time_point until) {
     auto payload = statement_payload(request);
     for (;;) {
-        auto target = co_await m_links.await_primary(request.service, request.database, until);
+        auto target = co_await m_backends.await_primary(request.service, request.database, until);
         if (!target) {
             co_return std::unexpected{target.error()};
         }
         payload["term"] = static_cast<Json::UInt64>(target->term);
-        auto out = co_await m_links.call(*target, "execute", payload,
-                                         std::min(m_links.limits().pool_wait, time_left(until)), try_time(until));
+        auto out =
+            co_await m_backends.call(*target, "execute", payload,
+                                     std::min(m_backends.limits().pool_wait, time_left(until)), attempt_time(until));
         if (out) {
             auto token = request.session;
             if ((*out)["wrote"].asBool()) {
-                auto safe = co_await acknowledge(*target, mark_from(*out), token, until);
-                if (!safe) {
-                    co_return std::unexpected{safe.error()};
+                auto confirmed = co_await acknowledge(*target, position_from(*out), token, until);
+                if (!confirmed) {
+                    co_return std::unexpected{confirmed.error()};
                 }
             }
             co_return statement_answer(*out, token, *target);
         }
-        if (!worth_retrying(out.error()) || clock::now() + retry_pause >= until) {
+        if (!is_retryable(out.error()) || clock::now() + retry_pause >= until) {
             co_return std::unexpected{out.error()};
         }
         co_await sleep_for(retry_pause);
     }
 }
 
-answer write_path::serve_once(const execute_request& request, clock::time_point until) {
+answer write_path::serve_idempotent(const execute_request& request, clock::time_point until) {
     bool in_doubt = false;
     for (;;) {
-        auto target = co_await m_links.await_primary(request.service, request.database, until);
+        auto target = co_await m_backends.await_primary(request.service, request.database, until);
         result<Json::Value> out = fail(errc::unavailable, "no primary");
         if (target) {
-            out = co_await once_on(*target, request, until);
+            out = co_await attempt_idempotent(*target, request, until);
         } else {
             out = std::unexpected{target.error()};
         }
@@ -117,85 +120,87 @@
         }
         const bool unknown = !ran_not(out.error().code);
         in_doubt = in_doubt || unknown;
-        const bool again = unknown || worth_retrying(out.error());
-        if (again && clock::now() + retry_pause < until) {
+        const bool retryable = unknown || is_retryable(out.error());
+        if (retryable && clock::now() + retry_pause < until) {
             co_await sleep_for(retry_pause);
             continue;
         }
-        // An earlier try may have committed. Only a refusal of the statement
-        // itself, reached after the record showed no trace of the id, still
-        // proves that nothing ran; being unable to look does not.
-        const bool learnt = !again && target.has_value();
-        if (in_doubt && !learnt) {
+        // An earlier attempt may have committed. The only proof that nothing ran is a refusal of the statement itself
+        // after the record had no entry for the id; failing to read the record proves nothing.
+        const bool resolved = !retryable && target.has_value();
+        if (in_doubt && !resolved) {
             co_return fail_for_now(errc::outcome_unknown,
                                    "request " + request.request_id +
                                        " may have taken effect: ask again with the same id (" + out.error().message +
                                        ")",
-                                   doubt_retry_after);
+                                   unknown_outcome_retry_after);
         }
         co_return out;
     }
 }
 
-answer write_path::once_on(const instance_view& primary, const execute_request& request, clock::time_point until) {
-    auto begun = co_await m_links.begin(primary, until, write_try_deadline);
+answer write_path::attempt_idempotent(const instance_view& primary, const execute_request& request,
+                                      clock::time_point until) {
+    auto begun = co_await m_backends.begin(primary, until, write_attempt_deadline);
     if (!begun) {
         co_return std::unexpected{begun.error()};
     }
-    auto& link = *begun;
-    auto found = co_await m_record.find(link, primary, request.request_id, try_time(until));
+    auto& connection = *begun;
+    auto found = co_await m_record.find(connection, primary, request.request_id, attempt_time(until));
     if (!found || *found) {
-        co_await backend_links::undo(link, write_try_deadline);
+        co_await backend_connections::roll_back(connection, write_attempt_deadline);
         if (!found) {
-            co_return std::unexpected{before_commit(found.error())};
+            co_return std::unexpected{as_not_committed(found.error())};
         }
-        co_return co_await repeated(primary, std::move(**found), request.session, until);
+        co_return co_await answer_from_record(primary, std::move(**found), request.session, until);
     }
-    auto ran = co_await run_and_record(link, request, until);
-    if (!ran) {
-        co_await backend_links::undo(link, write_try_deadline);
-        co_return std::unexpected{before_commit(ran.error())};
+    auto executed = co_await run_and_record(connection, request, until);
+    if (!executed) {
+        co_await backend_connections::roll_back(connection, write_attempt_deadline);
+        co_return std::unexpected{as_not_committed(executed.error())};
     }
-    auto committed = co_await backend_links::call_on(link, "commit", Json::Value{Json::objectValue}, try_time(until));
-    link.release();
+    auto committed = co_await backend_connections::call_on(connection, "commit", Json::Value{Json::objectValue},
+                                                           attempt_time(until));
+    connection.release();
     if (!committed) {
         co_return std::unexpected{committed.error()};
     }
     m_record.note_committed(primary);
     auto token = request.session;
-    auto safe = co_await acknowledge(primary, mark_from(*committed), token, until);
-    if (!safe) {
-        co_return std::unexpected{safe.error()};
+    auto confirmed = co_await acknowledge(primary, position_from(*committed), token, until);
+    if (!confirmed) {
+        co_return std::unexpected{confirmed.error()};
     }
-    co_return statement_answer(*ran, token, primary);
+    co_return statement_answer(*executed, token, primary);
 }
 
-answer write_path::run_and_record(const pooled_connection& link, const execute_request& request,
+answer write_path::run_and_record(const pooled_connection& connection, const execute_request& request,
                                   clock::time_point until) {
-    auto ran = co_await backend_links::call_on(link, "execute", statement_payload(request), try_time(until));
-    if (!ran) {
-        co_return std::unexpected{ran.error()};
+    auto executed =
+        co_await backend_connections::call_on(connection, "execute", statement_payload(request), attempt_time(until));
+    if (!executed) {
+        co_return std::unexpected{executed.error()};
     }
     Json::Value recorded;
     for (const auto* field : {"columns", "rows", "changes"}) {
-        recorded[field] = (*ran)[field];
+        recorded[field] = (*executed)[field];
     }
-    auto added = co_await m_record.add(link, request.request_id, recorded, try_time(until));
+    auto added = co_await m_record.add(connection, request.request_id, recorded, attempt_time(until));
     if (!added) {
         co_return std::unexpected{added.error()};
     }
     co_return recorded;
 }
 
-answer write_path::repeated(const instance_view& primary, request_record::outcome found, session_token token,
-                            clock::time_point until) {
-    // The record may have been written just now and not be safe yet: it is
-    // answered only once a majority holds the log up to here.
-    auto safe = co_await acknowledge(primary, found.seen_at, token, until);
-    if (!safe) {
-        // The mark is the log's end where the record was seen; the record
-        // stands before it and may be kept though the end was dropped.
-        co_return fail(errc::outcome_unknown, safe.error().message);
+answer write_path::answer_from_record(const instance_view& primary, request_record::outcome found, session_token token,
+                                      clock::time_point until) {
+    // The record may be recent and not yet replicated: it is returned only once a majority holds the log up to this
+    // point.
+    auto confirmed = co_await acknowledge(primary, found.log_end, token, until);
+    if (!confirmed) {
+        // `log_end` is the end of the log when the record was read. The record itself is at an earlier position and
+        // may survive although the end was dropped.
+        co_return fail(errc::outcome_unknown, confirmed.error().message);
     }
     log_event(event::once_repeated, "instance=" + primary.key);
     auto out = statement_answer(found.answer, token, primary);
@@ -205,23 +210,23 @@
 
 answer write_path::look_up(const instance_view& primary, const std::string& request_id, session_token& token,
                            clock::time_point until) {
-    auto begun = co_await m_links.begin(primary, until, write_try_deadline);
+    auto begun = co_await m_backends.begin(primary, until, write_attempt_deadline);
     if (!begun) {
         co_return std::unexpected{begun.error()};
     }
-    auto& link = *begun;
-    auto found = co_await m_record.find(link, primary, request_id, try_time(until));
-    co_await backend_links::undo(link, write_try_deadline);
+    auto& connection = *begun;
+    auto found = co_await m_record.find(connection, primary, request_id, attempt_time(until));
+    co_await backend_connections::roll_back(connection, write_attempt_deadline);
     if (!found) {
         co_return std::unexpected{found.error()};
     }
     if (!*found) {
         co_return Json::Value{};
     }
-    auto out = co_await repeated(primary, std::move(**found), token, until);
+    auto out = co_await answer_from_record(primary, std::move(**found), token, until);
     if (out) {
-        auto known = token_from_json((*out)["session"]);
-        token = known ? std::move(*known) : token;
+        auto parsed = token_from_json((*out)["session"]);
+        token = parsed ? std::move(*parsed) : token;
     }
     co_return out;
 }
@@ -229,7 +234,7 @@
 answer write_path::outcome_of(const std::string& service, const std::string& database, const std::string& request_id,
                               session_token& token, clock::time_point until) {
     for (;;) {
-        auto target = co_await m_links.await_primary(service, database, until);
+        auto target = co_await m_backends.await_primary(service, database, until);
         result<Json::Value> out = fail(errc::unavailable, "no primary answers");
         if (target) {
             out = co_await look_up(*target, request_id, token, until);
@@ -240,7 +245,7 @@
         if (clock::now() + retry_pause >= until) {
             co_return fail_for_now(errc::outcome_unknown,
                                    "request " + request_id + " may have taken effect: ask again with the same id",
-                                   doubt_retry_after);
+                                   unknown_outcome_retry_after);
         }
         co_await sleep_for(retry_pause);
     }
--- a/tests/unit/failover.cpp
+++ b/tests/unit/failover.cpp
@@ -29,15 +29,15 @@
     return out;
 }
 
-std::size_t leaders(const fake_group& group) {
-    return static_cast<std::size_t>(std::ranges::count_if(group.instances, &fake_instance::leads));
+std::size_t primary_count(const fake_group& group) {
+    return static_cast<std::size_t>(std::ranges::count_if(group.instances, &fake_instance::is_primary));
 }
 
 } // namespace
 
-// The primary crashed; the two replicas left hold logs of different length.
-// The longer one leads, as only it is sure to hold every acknowledged write.
-BOOST_AUTO_TEST_CASE(the_longest_log_of_the_majority_leads) {
+// The primary crashed and the logs of the two remaining replicas differ in length. The longer one must be promoted, as
+// only it is sure to hold every acknowledged write.
+BOOST_AUTO_TEST_CASE(the_longest_log_of_the_majority_is_promoted) {
     fake_store store;
     fake_group group{3};
     group.instances[0] = {1, true, {1, 1, 1}, false};
@@ -50,8 +50,8 @@
     BOOST_TEST(store.rows["s/d"].record.primary == "2");
 }
 
-// The primary and one replica are gone. The one left may lack acknowledged
-// writes, so nothing is promoted, however long nobody answers.
+// The primary and one replica are down. The remaining replica may lack acknowledged writes, so nothing may be
+// promoted, however long the outage lasts.
 BOOST_AUTO_TEST_CASE(without_a_majority_nothing_is_promoted) {
     fake_store store;
     fake_group group{3};
@@ -61,12 +61,12 @@
     const auto outcome = run(subject, group);
     BOOST_TEST(!outcome.promoted());
     BOOST_TEST(outcome.event == "no_majority");
-    BOOST_TEST(group.led.empty());
+    BOOST_TEST(group.promotions.empty());
 }
 
-// The platform's table is down when the primary fails. No term can be
-// allotted, so no instance is even fenced: the failover waits.
-BOOST_AUTO_TEST_CASE(with_the_platform_down_nothing_is_touched) {
+// The platform's table is down when the primary fails. No term can be allocated, so the failover waits without fencing
+// any instance.
+BOOST_AUTO_TEST_CASE(with_the_platform_down_nothing_is_fenced) {
     fake_store store;
     store.down = true;
     fake_group group{3};
@@ -77,43 +77,41 @@
     BOOST_TEST(run(subject, group).promoted());
 }
 
-// The table wrote the claim and its answer was lost. The proxy finds its own
-// claim in the row and goes on with that term, rather than claiming another.
+// The claim was written to the table but the answer was lost. The proxy must find its own claim in the row and
+// continue with that term instead of claiming another.
 BOOST_AUTO_TEST_CASE(a_claim_whose_answer_was_lost_is_recognised) {
     fake_store store;
-    store.lose_answers = 1;
+    store.drop_answers = 1;
     fake_group group{3};
     group.instances[0].reachable = false;
     test_failover subject{store, group, steps(), "a", "ua"};
     const auto outcome = run(subject, group);
     BOOST_TEST(outcome.promoted());
     BOOST_TEST(outcome.term == 2u);
-    BOOST_TEST(group.led.size() == 1u);
+    BOOST_TEST(group.promotions.size() == 1u);
 }
 
-// The promotion took effect and its answer was lost. Asking another instance
-// in the same term would make two primaries of one term; a new term is
-// claimed instead, and the first one is fenced by it.
+// The promotion took effect but its answer was lost. Promoting another instance in the same term would create two
+// primaries of one term; instead a new term is claimed, which fences the first promotion.
 BOOST_AUTO_TEST_CASE(a_promotion_whose_answer_was_lost_claims_a_new_term) {
     fake_store store;
     fake_group group{3};
     group.instances[0].reachable = false;
-    group.lose_promotions = 1;
+    group.drop_promotion_answers = 1;
     test_failover subject{store, group, steps(), "a", "ua"};
     const auto outcome = run(subject, group);
     BOOST_TEST(outcome.promoted());
     BOOST_TEST(outcome.term == 3u);
-    BOOST_TEST(leaders(group) == 1u + 1u); // the unreachable old one and the new one
+    BOOST_TEST(primary_count(group) == 1u + 1u); // the unreachable old one and the new one
 }
 
-// Proxy A claims a term and is paused before it promotes; its lease lapses.
-// Proxy B claims the next term and promotes. A wakes up, still believing it
-// holds the failover: the instances refuse its term.
+// Proxy A claims a term and is paused before the promotion until its lease expires. Proxy B claims the next term and
+// promotes. When A resumes its failover, the instances must refuse its term.
 BOOST_AUTO_TEST_CASE(a_holder_paused_past_its_lease_is_fenced) {
     fake_store store;
     fake_group group{3};
     group.instances[0].reachable = false;
-    group.hold_promotion = std::chrono::milliseconds{120};
+    group.promotion_delay = std::chrono::milliseconds{120};
     test_failover first{store, group, steps(), "a", "ua", std::chrono::milliseconds{30}};
     test_failover second{store, group, steps(), "b", "ub", std::chrono::milliseconds{30}};
     asio::io_context io;
@@ -125,7 +123,7 @@
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            for (int turn = 0; turn < 6; ++turn) {
+            for (int round = 0; round < 6; ++round) {
                 co_await sleep_for(std::chrono::milliseconds{10});
                 others.push_back(co_await second.run("s/d", group.members(), std::nullopt, 1));
                 if (others.back().promoted()) {
@@ -140,12 +138,12 @@
     BOOST_TEST(others.back().term == 3u);
     BOOST_TEST(!paused.promoted());
     BOOST_TEST(paused.event == "superseded");
-    BOOST_TEST(group.led.size() == 1u);
+    BOOST_TEST(group.promotions.size() == 1u);
 }
 
-// A proxy that has not heard of the new primary yet judges the old one lost
-// again. The row's newer term tells it to wait, not to depose the new one.
-BOOST_AUTO_TEST_CASE(a_change_just_finished_is_left_alone) {
+// A proxy that has no heartbeat of the new primary yet considers the old one lost again. The newer term in the row
+// must make it wait instead of replacing the new primary.
+BOOST_AUTO_TEST_CASE(a_failover_just_finished_is_not_repeated) {
     fake_store store;
     fake_group group{3};
     group.instances[0].reachable = false;
@@ -156,26 +154,25 @@
     BOOST_TEST(run(second, group, 2).promoted());
 }
 
-// The primary is leaving, or cut off from its replicas but not from the
-// proxies. It has the longest log, by writes that nobody acknowledged. Chosen
-// for that, it would lead again and change nothing; one of the others leads.
+// The primary is leaving, or is cut off from its replicas but not from the proxies. Its log is the longest because of
+// writes that were never acknowledged. Promoting it again for that would change nothing, so another member must be
+// chosen.
 BOOST_AUTO_TEST_CASE(the_primary_being_replaced_is_not_chosen_again) {
     fake_store store;
     fake_group group{3};
     group.instances[0].log = {1, 1, 1};
     group.instances[1].log = {1, 1};
     group.instances[2].log = {1};
-    group.avoided = {0};
+    group.not_preferred = {0};
     test_failover subject{store, group, steps(), "a", "ua"};
     BOOST_TEST(run(subject, group).primary == "1");
 }
 
-// Three proxies fail over again and again while instances drop out and come
-// back, answers get lost and steps are delayed at random, and writes go on.
-// Whatever the order: one instance leads a term, and a write that a majority
-// held in its own term is in the log of every later primary.
+// Three proxies run failovers repeatedly while instances fail and recover, answers get lost, steps are delayed at
+// random and writes continue. Invariants: one primary per term, and a write that a majority held in its own term is in
+// the log of every later primary.
 BOOST_AUTO_TEST_CASE(random_failovers_lose_no_acknowledged_write) {
-    std::size_t all_acknowledged = 0;
+    std::size_t total_acknowledged = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         std::mt19937_64 random{seed};
         fake_store store;
@@ -186,7 +183,7 @@
         asio::io_context io;
         const auto proxy_loop = [&](std::string name) -> asio::awaitable<void> {
             test_failover subject{store, group, steps(), name, "u" + name, std::chrono::milliseconds{3}};
-            for (int turn = 0; turn < 8; ++turn) {
+            for (int round = 0; round < 8; ++round) {
                 co_await sleep_for(std::chrono::milliseconds{random() % 4});
                 std::uint64_t known = 0;
                 for (const auto& item : group.instances) {
@@ -196,43 +193,43 @@
             }
         };
         const auto fault_loop = [&]() -> asio::awaitable<void> {
-            for (int turn = 0; turn < 30; ++turn) {
+            for (int round = 0; round < 30; ++round) {
                 co_await sleep_for(std::chrono::milliseconds{1});
                 auto& item = group.instances[random() % 3];
                 item.reachable = random() % 3 != 0;
-                store.lose_answers = random() % 5 == 0 ? 1 : 0;
-                group.lose_promotions = random() % 7 == 0 ? 1 : 0;
+                store.drop_answers = random() % 5 == 0 ? 1 : 0;
+                group.drop_promotion_answers = random() % 7 == 0 ? 1 : 0;
             }
             for (auto& item : group.instances) {
                 item.reachable = true;
             }
         };
-        // A write: the leader appends; replicas that keep its term take its
-        // log; acknowledged when a majority has it.
+        // A write: the primary appends an entry; replicas that accept its term copy its log; the write is acknowledged
+        // once a majority holds it.
         const auto write_loop = [&]() -> asio::awaitable<void> {
-            for (int turn = 0; turn < 60; ++turn) {
+            for (int round = 0; round < 60; ++round) {
                 co_await sleep_for(std::chrono::milliseconds{random() % 2});
                 const auto writer = random() % 3;
-                if (!group.instances[writer].leads) {
+                if (!group.instances[writer].is_primary) {
                     continue;
                 }
                 group.instances[writer].log.push_back(group.instances[writer].term);
-                const auto mark = group.instances[writer].end();
+                const auto entry = group.instances[writer].end();
                 std::size_t holders = 1;
                 for (std::size_t other = 0; other < 3; ++other) {
                     co_await group.pause();
                     auto& from = group.instances[writer];
                     auto& to = group.instances[other];
-                    if (other != writer && from.leads && from.term == mark.term && from.reachable && to.reachable &&
-                        to.term <= from.term) {
+                    if (other != writer && from.is_primary && from.term == entry.term && from.reachable &&
+                        to.reachable && to.term <= from.term) {
                         to.term = from.term;
-                        to.leads = false;
+                        to.is_primary = false;
                         to.log = from.log;
                         ++holders;
                     }
                 }
                 if (holders >= majority_of(3)) {
-                    acknowledged.emplace_back(mark.position, mark.term);
+                    acknowledged.emplace_back(entry.position, entry.term);
                 }
             }
         };
@@ -243,14 +240,14 @@
         asio::co_spawn(io, write_loop(), asio::detached);
         io.run();
 
-        all_acknowledged += acknowledged.size();
-        std::set<std::uint64_t> terms;
-        for (const auto& [term, key] : group.led) {
-            BOOST_TEST(terms.insert(term).second, "seed " << seed << ": two primaries in term " << term);
+        total_acknowledged += acknowledged.size();
+        std::set<std::uint64_t> promoted_terms;
+        for (const auto& [term, key] : group.promotions) {
+            BOOST_TEST(promoted_terms.insert(term).second, "seed " << seed << ": two primaries in term " << term);
         }
-        // One last failover with everybody back: its primary must hold them all.
-        store.lose_answers = 0;
-        group.lose_promotions = 0;
+        // A final failover with all instances reachable: its primary must hold all acknowledged writes.
+        store.drop_answers = 0;
+        group.drop_promotion_answers = 0;
         test_failover last{store, group, steps(), "z", "uz", std::chrono::milliseconds{0}};
         const auto outcome = run(last, group, 1);
         BOOST_REQUIRE(outcome.promoted());
@@ -261,5 +258,5 @@
                        "seed " << seed << ": acknowledged write " << position << " of term " << term << " is lost");
         }
     }
-    BOOST_TEST(all_acknowledged > 100u, "the runs acknowledged " << all_acknowledged << " writes");
+    BOOST_TEST(total_acknowledged > 100u, "the runs acknowledged " << total_acknowledged << " writes");
 }
--- a/tests/unit/fake_backend.hpp
+++ b/tests/unit/fake_backend.hpp
@@ -10,8 +10,7 @@
 
 namespace cornellever::test {
 
-/// A backend that only notes which connection each statement came on and
-/// whether a transaction was open there.
+/// A backend that records the connection of each statement and whether a transaction was open on it.
 class fake_backend {
 public:
     explicit fake_backend(asio::io_context& io) : m_server{io.get_executor()} {
@@ -24,13 +23,13 @@
     }
 
     tcp::endpoint address;
-    /// Connections with a transaction open.
+    /// Connections with an open transaction.
     std::set<std::uint64_t> open;
     /// The connection of the last statement, and whether it was inside a transaction.
     std::uint64_t last_connection{0};
-    bool last_inside{false};
-    /// From now on statements get no answer on connections up to this id.
-    std::uint64_t silent_up_to{0};
+    bool last_in_transaction{false};
+    /// Statements on connections up to this id get no answer.
+    std::uint64_t unanswered_up_to{0};
 
 private:
     asio::awaitable<result<Json::Value>> begin(rpc::connection& conn) {
@@ -52,8 +51,8 @@
 
     asio::awaitable<result<Json::Value>> execute(const Json::Value& in, rpc::connection& conn) {
         last_connection = conn.id;
-        last_inside = open.contains(conn.id);
-        conn.go_silent = conn.id <= silent_up_to;
+        last_in_transaction = open.contains(conn.id);
+        conn.go_silent = conn.id <= unanswered_up_to;
         if (in["sql"] == "BEGIN") {
             open.insert(conn.id);
         }
@@ -77,7 +76,7 @@
     return out;
 }
 
-inline proxy::heartbeat primary_beat(std::uint64_t term = 1) {
+inline proxy::heartbeat primary_heartbeat(std::uint64_t term = 1) {
     proxy::heartbeat out;
     out.key = "stockbook/orders/walu";
     out.answered = true;
--- a/tests/unit/fake_group.hpp
+++ b/tests/unit/fake_group.hpp
@@ -11,8 +11,7 @@
 
 namespace cornellever::test {
 
-/// The platform's table for one test: one row per database, with switches
-/// for the ways it fails.
+/// The platform's table with one row per database and switches to inject faults.
 class fake_store {
 public:
     asio::awaitable<result<proxy::versioned_record>> read(std::string_view database) {
@@ -33,11 +32,11 @@
         }
         auto& row = rows[key];
         if (row.version != expected) {
-            co_return fail(errc::conflict, "moved on");
+            co_return fail(errc::conflict, "version conflict");
         }
         row = {value, expected + 1};
-        if (lose_answers > 0) {
-            --lose_answers;
+        if (drop_answers > 0) {
+            --drop_answers;
             co_return fail(errc::outcome_unknown, "answer lost");
         }
         co_return row.version;
@@ -51,38 +50,39 @@
 
     std::map<std::string, proxy::versioned_record> rows;
     bool down{false};
-    int lose_answers{0};
+    int drop_answers{0};
     std::mt19937_64* random{nullptr};
 };
 
-/// One instance as the terms' rules make it behave: it keeps the highest
-/// term it was shown and refuses lower ones.
+/// One instance that follows the rules for terms: it keeps the highest term it has seen and refuses lower ones.
 struct fake_instance {
     std::uint64_t term{1};
-    bool leads{false};
-    /// The term each entry was written in; position 1 first.
+    bool is_primary{false};
+    /// The term of each entry; index 0 is position 1.
     std::vector<std::uint64_t> log;
     bool reachable{true};
 
-    [[nodiscard]] proxy::write_mark end() const {
-        return log.empty() ? proxy::write_mark{} : proxy::write_mark{log.back(), log.size()};
+    [[nodiscard]] proxy::term_position end() const {
+        return log.empty() ? proxy::term_position{} : proxy::term_position{log.back(), log.size()};
     }
 };
 
-/// The instances of one database, shared by every proxy of a test.
+/// The instances of one database, shared by all proxies of a test.
 class fake_group {
 public:
-    explicit fake_group(std::size_t size) : instances(size) { instances.front().leads = true; }
+    explicit fake_group(std::size_t size) : instances(size) { instances.front().is_primary = true; }
 
     [[nodiscard]] std::vector<proxy::group_member> members() const {
         std::vector<proxy::group_member> out;
         for (std::size_t index = 0; index < instances.size(); ++index) {
-            out.push_back({std::to_string(index), {}, avoided.contains(index)});
+            out.push_back({std::to_string(index), {}, not_preferred.contains(index)});
         }
         return out;
     }
 
-    [[nodiscard]] fake_instance& at(const proxy::group_member& member) { return instances.at(std::stoul(member.key)); }
+    [[nodiscard]] fake_instance& instance_of(const proxy::group_member& member) {
+        return instances.at(std::stoul(member.key));
+    }
 
     asio::awaitable<result<void>> quiesce(const proxy::group_member&, std::uint64_t) { co_return result<void>{}; }
 
@@ -92,14 +92,14 @@
         std::vector<proxy::fenced_member> out;
         for (const auto& member : copy) {
             co_await pause();
-            auto& target = at(member);
+            auto& target = instance_of(member);
             if (!target.reachable) {
                 continue;
             }
-            if (term < target.term || (term == target.term && target.leads)) {
+            if (term < target.term || (term == target.term && target.is_primary)) {
                 co_return fail(errc::fenced, "keeps a higher term");
             }
-            target.leads = target.leads && term == target.term;
+            target.is_primary = target.is_primary && term == target.term;
             target.term = term;
             out.push_back({member, target.end()});
         }
@@ -109,28 +109,28 @@
     asio::awaitable<result<void>> promote(const proxy::group_member& member, std::uint64_t term,
                                           std::span<const proxy::group_member>) {
         const auto copy = member;
-        co_await before_promote();
-        auto& target = at(copy);
+        co_await delay_promotion();
+        auto& target = instance_of(copy);
         if (!target.reachable) {
             co_return fail(errc::outcome_unknown, "no answer");
         }
         if (term != target.term) {
             co_return fail(errc::fenced, "keeps another term");
         }
-        target.leads = true;
+        target.is_primary = true;
         target.log.push_back(term);
-        led.insert({term, copy.key});
-        if (lose_promotions > 0) {
-            --lose_promotions;
+        promotions.insert({term, copy.key});
+        if (drop_promotion_answers > 0) {
+            --drop_promotion_answers;
             co_return fail(errc::outcome_unknown, "answer lost");
         }
         co_return result<void>{};
     }
 
-    asio::awaitable<void> before_promote() {
-        if (hold_promotion.count() > 0) {
-            const auto held = std::exchange(hold_promotion, std::chrono::milliseconds{0});
-            co_await sleep_for(held);
+    asio::awaitable<void> delay_promotion() {
+        if (promotion_delay.count() > 0) {
+            const auto delay = std::exchange(promotion_delay, std::chrono::milliseconds{0});
+            co_await sleep_for(delay);
         }
         co_await pause();
     }
@@ -142,12 +142,12 @@
     }
 
     std::vector<fake_instance> instances;
-    std::set<std::size_t> avoided;
-    /// Every (term, instance) that ever led.
-    std::set<std::pair<std::uint64_t, std::string>> led;
-    int lose_promotions{0};
-    /// How long the next promotion is held up, as by a paused proxy.
-    std::chrono::milliseconds hold_promotion{0};
+    std::set<std::size_t> not_preferred;
+    /// Every promotion as (term, instance).
+    std::set<std::pair<std::uint64_t, std::string>> promotions;
+    int drop_promotion_answers{0};
+    /// Delay of the next promotion, as if the proxy were paused.
+    std::chrono::milliseconds promotion_delay{0};
     std::mt19937_64* random{nullptr};
 };
 
--- a/tests/unit/fake_replica.hpp
+++ b/tests/unit/fake_replica.hpp
@@ -6,7 +6,7 @@
 
 namespace cornellever::test {
 
-/// A replica that holds a log up to `held` in `term`.
+/// A replica whose log ends at `received`.
 struct fake_replica {
     explicit fake_replica(asio::io_context& io) : server{io.get_executor()} {
         server.on("await_received", [this](const Json::Value& in, rpc::connection&) { return confirm(in); });
@@ -15,24 +15,24 @@
     }
 
     asio::awaitable<result<Json::Value>> confirm(const Json::Value& in) {
-        ++asked;
-        const auto wanted = proxy::write_mark{in["term"].asUInt64(), in["position"].asUInt64()};
-        if (wanted.term < held.term) {
+        ++polls;
+        const auto requested = proxy::term_position{in["term"].asUInt64(), in["position"].asUInt64()};
+        if (requested.term < received.term) {
             co_return fail(errc::fenced, "keeps a later term");
         }
-        if (wanted > held) {
+        if (requested > received) {
             co_await sleep_for(std::chrono::milliseconds{10});
             co_return fail(errc::behind, "not received");
         }
         Json::Value out;
-        out["received"] = static_cast<Json::UInt64>(held.position);
+        out["received"] = static_cast<Json::UInt64>(received.position);
         co_return out;
     }
 
     rpc::server server;
     proxy::confirming_replica self;
-    proxy::write_mark held;
-    std::size_t asked{0};
+    proxy::term_position received;
+    std::size_t polls{0};
 };
 
 } // namespace cornellever::test
