--- a/src/cornellever/proxy/primary_health.hpp
+++ b/src/cornellever/proxy/primary_health.hpp
@@ -20,8 +20,8 @@
     unreachable,
 };
 
-/// A primary that still answers this proxy counts as cut off once its replicas have been without contact to it for
-/// this long.
+/// A primary that still answers this proxy counts as cut off once its replicas have had no contact with it for this
+/// long.
 inline constexpr auto isolation_timeout = std::chrono::milliseconds{1500};
 
 /// The same for a primary that does not answer this proxy either.
--- a/src/cornellever/proxy/primary_monitor.cpp
+++ b/src/cornellever/proxy/primary_monitor.cpp
@@ -69,8 +69,8 @@
     params["database"] = database;
     std::vector<primary_observation> observations;
     for (const auto& peer : m_peers) {
-        rpc::channel link{m_executor, peer};
-        auto answer = co_await link.call("primary.heard", params, m_limits.call_deadline);
+        rpc::channel channel{m_executor, peer};
+        auto answer = co_await channel.call("primary.heard", params, m_limits.call_deadline);
         if (!answer || !answer->isObject()) {
             observations.push_back(primary_observation::no_answer);
         } else {
