--- a/src/cornellever/backend/instance.cpp
+++ b/src/cornellever/backend/instance.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "cornellever/backend/client.hpp"
+#include "cornellever/backend/connection_context.hpp"
 #include "cornellever/core/log.hpp"
 
 namespace cornellever::backend {
--- a/src/cornellever/backend/replication.cpp
+++ b/src/cornellever/backend/replication.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "cornellever/backend/client.hpp"
+#include "cornellever/backend/connection_context.hpp"
 #include "cornellever/backend/instance.hpp"
 #include "cornellever/core/daemon.hpp"
 #include "cornellever/core/log.hpp"
--- a/src/cornellever/backend/statements.cpp
+++ b/src/cornellever/backend/statements.cpp
@@ -1,6 +1,6 @@
 #include <utility>
 
-#include "cornellever/backend/client.hpp"
+#include "cornellever/backend/connection_context.hpp"
 #include "cornellever/backend/instance.hpp"
 #include "cornellever/core/log.hpp"
 
--- a/src/cornellever/bench/caller.cpp
+++ b/src/cornellever/bench/caller_session.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/bench/caller.hpp"
+#include "cornellever/bench/caller_session.hpp"
 
 namespace cornellever::bench {
 
--- a/src/cornellever/bench/gap.cpp
+++ b/src/cornellever/bench/failover_gap.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/bench/gap.hpp"
+#include "cornellever/bench/failover_gap.hpp"
 
 namespace cornellever::bench {
 
--- a/src/cornellever/bench/gap.hpp
+++ b/src/cornellever/bench/failover_gap.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "cornellever/bench/caller.hpp"
+#include "cornellever/bench/caller_session.hpp"
 #include "cornellever/metrics/latency.hpp"
 
 namespace cornellever::bench {
--- a/src/cornellever/bench/main.cpp
+++ b/src/cornellever/bench/main.cpp
@@ -5,7 +5,7 @@
 #include <tclap/CmdLine.h>
 
 #include "cornellever/bench/differential.hpp"
-#include "cornellever/bench/gap.hpp"
+#include "cornellever/bench/failover_gap.hpp"
 #include "cornellever/bench/load.hpp"
 #include "cornellever/bench/session_script.hpp"
 #include "cornellever/bench/verify.hpp"
--- a/src/cornellever/standin/main.cpp
+++ b/src/cornellever/standin/main.cpp
@@ -2,7 +2,7 @@
 
 #include "cornellever/core/daemon.hpp"
 #include "cornellever/core/role.hpp"
-#include "cornellever/standin/service.hpp"
+#include "cornellever/standin/platform_service.hpp"
 
 namespace cornellever {
 
--- a/src/cornellever/standin/service.cpp
+++ b/src/cornellever/standin/platform_service.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/standin/service.hpp"
+#include "cornellever/standin/platform_service.hpp"
 
 #include <fstream>
 #include <sstream>
