--- a/src/cornellever/backend/connection_context.hpp
+++ b/src/cornellever/backend/connection_context.hpp
@@ -9,21 +9,21 @@
 namespace cornellever::backend {
 
 /// One caller connection's SQLite connection and open transaction.
-struct instance::client : rpc::connection_state {
-    client(std::uint64_t connection_id, sqlite_connection connection, std::uint64_t of_generation,
-           std::set<client*>& all)
+struct instance::connection_context : rpc::connection_state {
+    connection_context(std::uint64_t connection_id, sqlite_connection connection, std::uint64_t database_generation,
+                       std::set<connection_context*>& registry)
         : id{connection_id}
         , db{std::move(connection)}
-        , generation{of_generation}
-        , m_all{all} {
-        m_all.insert(this);
+        , generation{database_generation}
+        , m_registry{registry} {
+        m_registry.insert(this);
     }
-    ~client() override { m_all.erase(this); }
-    client(const client&) = delete;
-    client& operator=(const client&) = delete;
+    ~connection_context() override { m_registry.erase(this); }
+    connection_context(const connection_context&) = delete;
+    connection_context& operator=(const connection_context&) = delete;
 
     /// Ends the open transaction, undoing it.
-    void undo() {
+    void roll_back() {
         if (db.in_transaction()) {
             (void)db.exec("ROLLBACK");
         }
@@ -41,7 +41,7 @@
     std::vector<logged_statement> pending;
 
 private:
-    std::set<client*>& m_all;
+    std::set<connection_context*>& m_registry;
 };
 
 } // namespace cornellever::backend
--- a/src/cornellever/backend/database.cpp
+++ b/src/cornellever/backend/database.cpp
@@ -24,7 +24,7 @@
     , m_scripts{std::move(scripts)}
     , m_writer{std::move(writer)} {}
 
-std::filesystem::path database::file_of(const std::filesystem::path& folder, std::uint64_t generation) {
+std::filesystem::path database::generation_file(const std::filesystem::path& folder, std::uint64_t generation) {
     return folder / ("data-" + std::to_string(generation) + ".sqlite");
 }
 
@@ -54,7 +54,7 @@
 result<database> database::create(std::filesystem::path folder, std::vector<std::filesystem::path> scripts) {
     std::error_code ignored;
     std::filesystem::create_directories(folder, ignored);
-    auto writer = seed(file_of(folder, 0), scripts);
+    auto writer = seed(generation_file(folder, 0), scripts);
     if (!writer) {
         return std::unexpected{writer.error()};
     }
@@ -62,13 +62,13 @@
 }
 
 result<void> database::rebuild() {
-    auto writer = seed(file_of(m_folder, m_generation + 1), m_scripts);
+    auto writer = seed(generation_file(m_folder, m_generation + 1), m_scripts);
     if (!writer) {
         return std::unexpected{writer.error()};
     }
     m_writer = std::move(*writer);
     ++m_generation;
-    m_applied = 0;
+    m_applied_position = 0;
     return {};
 }
 
@@ -89,12 +89,12 @@
         (void)m_writer.exec("ROLLBACK");
         return committed;
     }
-    m_applied = entry.position;
+    m_applied_position = entry.position;
     return committed;
 }
 
 result<sqlite_connection> database::connect() const {
-    auto opened = sqlite_connection::open(file_of(m_folder, m_generation));
+    auto opened = sqlite_connection::open(generation_file(m_folder, m_generation));
     if (opened) {
         opened->refuse_connection_statements();
     }
--- a/src/cornellever/backend/database.hpp
+++ b/src/cornellever/backend/database.hpp
@@ -33,24 +33,25 @@
     [[nodiscard]] std::uint64_t generation() const noexcept { return m_generation; }
 
     /// The position of the last entry applied.
-    [[nodiscard]] std::uint64_t applied() const noexcept { return m_applied; }
+    [[nodiscard]] std::uint64_t applied_position() const noexcept { return m_applied_position; }
 
     /// Records that `position` is in the database because a caller's own
     /// connection committed it here, on the primary.
-    void committed_here(std::uint64_t position) noexcept { m_applied = position; }
+    void record_local_commit(std::uint64_t position) noexcept { m_applied_position = position; }
 
 private:
     database(std::filesystem::path folder, std::vector<std::filesystem::path> scripts, sqlite_connection writer);
 
     [[nodiscard]] static result<sqlite_connection> seed(const std::filesystem::path& file,
                                                         const std::vector<std::filesystem::path>& scripts);
-    [[nodiscard]] static std::filesystem::path file_of(const std::filesystem::path& folder, std::uint64_t generation);
+    [[nodiscard]] static std::filesystem::path generation_file(const std::filesystem::path& folder,
+                                                               std::uint64_t generation);
 
     std::filesystem::path m_folder;
     std::vector<std::filesystem::path> m_scripts;
     sqlite_connection m_writer;
     std::uint64_t m_generation{0};
-    std::uint64_t m_applied{0};
+    std::uint64_t m_applied_position{0};
 };
 
 } // namespace cornellever::backend
--- a/src/cornellever/backend/faults.hpp
+++ b/src/cornellever/backend/faults.hpp
@@ -10,20 +10,20 @@
 /// Fault switches of the stand-in, set at run time with `fault.set`.
 struct faults {
     /// How long a replica holds a received write back before applying it.
-    std::chrono::milliseconds lag{0};
+    std::chrono::milliseconds replication_lag{0};
     /// Nothing is answered, shipped or applied: a crashed or hung machine.
     bool frozen{false};
     /// No replication in or out: a partition between the instances.
-    bool cut{false};
+    bool replication_cut{false};
     /// Nothing but replication is answered: a partition between the proxies
     /// and this instance.
-    bool callers_cut{false};
+    bool caller_traffic_cut{false};
     /// That many executes or commits take effect and lose their answer.
-    int lose_answers{0};
+    int answers_to_drop{0};
     /// Every statement's answer is held back this long after it ran.
-    std::chrono::milliseconds delay_answers{0};
+    std::chrono::milliseconds answer_delay{0};
     /// Connections with a lower id never answer again, new ones do.
-    std::uint64_t silent_below{0};
+    std::uint64_t silent_below_id{0};
 };
 
 /// Changes the switches that `params` names; `connection` is the id below
--- a/src/cornellever/backend/instance.cpp
+++ b/src/cornellever/backend/instance.cpp
@@ -31,39 +31,39 @@
     : m_executor{std::move(executor)}
     , m_settings{std::move(settings)}
     , m_data{std::move(data)}
-    , m_role{m_settings.starts_as}
+    , m_role{m_settings.initial_role}
     , m_term{m_settings.term}
-    , m_heard_at{clock::now()}
-    , m_complete_as_of{m_heard_at} {
-    m_faults.lag = m_settings.lag;
+    , m_primary_contact_at{clock::now()}
+    , m_received_all_at{m_primary_contact_at} {
+    m_faults.replication_lag = m_settings.replication_lag;
 }
 
 void instance::bind(rpc::server& rpc) {
-    const auto add = [&](std::string name, answer (instance::*call)(params, rpc::connection&)) {
-        const bool between_instances = name == "replicate";
-        rpc.on(std::move(name), [this, call, between_instances](params in, rpc::connection& conn) -> answer {
-            if (m_faults.frozen || (m_faults.callers_cut && !between_instances)) {
+    const auto add_method = [&](std::string name, answer (instance::*call)(params, rpc::connection&)) {
+        const bool is_replication = name == "replicate";
+        rpc.on(std::move(name), [this, call, is_replication](params in, rpc::connection& conn) -> answer {
+            if (m_faults.frozen || (m_faults.caller_traffic_cut && !is_replication)) {
                 conn.go_silent = true;
-                return [](std::string who) -> answer {
-                    co_return fail(errc::outcome_unknown, who + " is frozen");
+                return [](std::string instance_name) -> answer {
+                    co_return fail(errc::outcome_unknown, instance_name + " is frozen");
                 }(m_settings.name);
             }
             return (this->*call)(in, conn);
         });
     };
-    add("execute", &instance::execute);
-    add("begin", &instance::begin);
-    add("commit", &instance::commit);
-    add("rollback", &instance::rollback);
-    add("terminate", &instance::terminate);
-    add("await_received", &instance::await_received);
-    add("find_entry", &instance::find_entry);
-    add("replicate", &instance::replicate);
-    add("quiesce", &instance::quiesce);
-    add("fence", &instance::fence);
-    add("promote", &instance::promote);
-    add("status", &instance::status);
-    add("dump", &instance::dump);
+    add_method("execute", &instance::execute);
+    add_method("begin", &instance::begin);
+    add_method("commit", &instance::commit);
+    add_method("rollback", &instance::rollback);
+    add_method("terminate", &instance::terminate);
+    add_method("await_received", &instance::await_received);
+    add_method("find_entry", &instance::find_entry);
+    add_method("replicate", &instance::replicate);
+    add_method("quiesce", &instance::quiesce);
+    add_method("fence", &instance::fence);
+    add_method("promote", &instance::promote);
+    add_method("status", &instance::status);
+    add_method("dump", &instance::dump);
     rpc.on("fault.set", [this](params in, rpc::connection& conn) { return set_fault(in, conn); });
 }
 
@@ -78,34 +78,34 @@
     if (m_role == role::primary) {
         return std::chrono::milliseconds{0};
     }
-    auto as_of = m_complete_as_of;
-    if (const auto* waiting = m_log.at(m_data.applied() + 1); waiting != nullptr) {
-        as_of = std::min(as_of, waiting->received_at);
+    auto as_of = m_received_all_at;
+    if (const auto* next_to_apply = m_log.at(m_data.applied_position() + 1); next_to_apply != nullptr) {
+        as_of = std::min(as_of, next_to_apply->received_at);
     }
     return std::chrono::milliseconds{millis_since(as_of)};
 }
 
 std::size_t instance::open_transactions() const {
     return static_cast<std::size_t>(
-        std::ranges::count_if(m_clients, [](const client* item) { return item->in_transaction; }));
+        std::ranges::count_if(m_connections, [](const connection_context* item) { return item->in_transaction; }));
 }
 
-Json::Value instance::essentials() const {
+Json::Value instance::heartbeat_status() const {
     Json::Value out;
     out["role"] = std::string{to_string(m_role)};
     out["term"] = static_cast<Json::UInt64>(m_term);
-    out["position"] = static_cast<Json::UInt64>(m_data.applied());
+    out["position"] = static_cast<Json::UInt64>(m_data.applied_position());
     out["staleness_ms"] = static_cast<Json::Int64>(staleness().count());
-    out["heard_ms"] = static_cast<Json::Int64>(m_role == role::primary ? 0 : millis_since(m_heard_at));
+    out["heard_ms"] = static_cast<Json::Int64>(m_role == role::primary ? 0 : millis_since(m_primary_contact_at));
     return out;
 }
 
 Json::Value instance::describe() const {
-    Json::Value out = essentials();
+    Json::Value out = heartbeat_status();
     out["name"] = m_settings.name;
     out["received"] = static_cast<Json::UInt64>(m_log.last());
     out["received_term"] = static_cast<Json::UInt64>(m_log.end().term);
-    out["connections"] = static_cast<Json::UInt64>(m_clients.size());
+    out["connections"] = static_cast<Json::UInt64>(m_connections.size());
     out["transactions"] = static_cast<Json::UInt64>(open_transactions());
     out["statements"] = static_cast<Json::UInt64>(m_statements);
     out["faults"] = to_json(m_faults);
@@ -113,7 +113,7 @@
 }
 
 instance::answer instance::status(params, rpc::connection&) {
-    co_return essentials();
+    co_return heartbeat_status();
 }
 
 instance::answer instance::dump(params, rpc::connection&) {
--- a/src/cornellever/backend/instance.hpp
+++ b/src/cornellever/backend/instance.hpp
@@ -23,19 +23,19 @@
 /// Settings of one stand-in database server instance.
 struct instance_settings {
     std::string name;
-    role starts_as{role::replica};
+    role initial_role{role::replica};
     std::uint64_t term{1};
     std::vector<tcp::endpoint> replicas;
     std::vector<std::filesystem::path> scripts;
     std::filesystem::path folder;
-    std::chrono::milliseconds lag{0};
+    std::chrono::milliseconds replication_lag{0};
     std::chrono::milliseconds connect_delay{0};
     std::size_t max_connections{64};
 };
 
 /// A stand-in database server instance: a real SQLite database, a role, a
 /// term and a log. A primary appends each committed write to its log and
-/// ships it; replicas receive it at once and apply it `lag` later.
+/// ships it; replicas receive it at once and apply it `replication_lag` later.
 ///
 /// Terms fence: an instance remembers the highest term it was asked to keep
 /// (`fence`, `promote`, `replicate`) and refuses whatever carries a lower
@@ -63,7 +63,7 @@
     using params = const Json::Value&;
     using answer = asio::awaitable<result<Json::Value>>;
     using clock = std::chrono::steady_clock;
-    struct client;
+    struct connection_context;
 
     instance(asio::any_io_executor executor, instance_settings settings, database data);
 
@@ -88,31 +88,31 @@
     answer fence(params in, rpc::connection& conn);
     answer promote(params in, rpc::connection& conn);
 
-    asio::awaitable<result<client*>> attach(rpc::connection& conn);
-    asio::awaitable<void> after_effect(rpc::connection& conn);
+    asio::awaitable<result<connection_context*>> context_of(rpc::connection& conn);
+    asio::awaitable<void> apply_answer_faults(rpc::connection& conn);
     [[nodiscard]] result<void> admit_read(params in) const;
     [[nodiscard]] result<void> admit_write(params in) const;
     /// Tells a caller, once, that stepping down undid its transaction.
-    [[nodiscard]] result<void> tell_of_abort(client& session) const;
-    [[nodiscard]] std::unexpected<error> refuse(const error& refusal) const;
-    [[nodiscard]] Json::Value where_written() const;
+    [[nodiscard]] result<void> report_abort(connection_context& caller) const;
+    [[nodiscard]] std::unexpected<error> log_refusal(const error& refusal) const;
+    [[nodiscard]] Json::Value describe_log_end() const;
     [[nodiscard]] std::chrono::milliseconds staleness() const;
     [[nodiscard]] std::size_t open_transactions() const;
     /// Whether a majority of the instances, this primary included, hold its log whole.
     [[nodiscard]] bool majority_holds_log() const;
     /// What a heartbeat needs; every byte of it is sent by each proxy
     /// several times a second.
-    [[nodiscard]] Json::Value essentials() const;
+    [[nodiscard]] Json::Value heartbeat_status() const;
     [[nodiscard]] Json::Value describe() const;
 
     void append(std::vector<logged_statement> statements);
     void step_down();
-    void keep_term(std::uint64_t term);
-    void wake_waiting();
+    void adopt_term(std::uint64_t term);
+    void wake_receive_waiters();
     void receive(const Json::Value& entries);
-    void give_up_from(std::uint64_t position);
+    void discard_from(std::uint64_t position);
     void start_shipping();
-    asio::awaitable<void> ship(tcp::endpoint replica, std::uint64_t reign);
+    asio::awaitable<void> ship(tcp::endpoint replica, std::uint64_t role_epoch);
     asio::awaitable<void> apply_received();
 
     asio::any_io_executor m_executor;
@@ -121,18 +121,18 @@
     role m_role;
     std::uint64_t m_term;
     /// Counts changes of role; shipping loops of an earlier reign end.
-    std::uint64_t m_reign{0};
+    std::uint64_t m_role_epoch{0};
     bool m_quiescing{false};
     write_log m_log;
     /// How far each replica of this reign has confirmed to hold the log.
-    std::map<tcp::endpoint, std::uint64_t> m_shipped;
+    std::map<tcp::endpoint, std::uint64_t> m_replica_positions;
     faults m_faults;
     std::uint64_t m_statements{0};
-    std::set<client*> m_clients;
+    std::set<connection_context*> m_connections;
     /// Timers of the `await_received` calls under way.
-    std::set<asio::steady_timer*> m_waiting;
-    clock::time_point m_heard_at;
-    clock::time_point m_complete_as_of;
+    std::set<asio::steady_timer*> m_receive_waiters;
+    clock::time_point m_primary_contact_at;
+    clock::time_point m_received_all_at;
 };
 
 } // namespace cornellever::backend
--- a/src/cornellever/backend/main.cpp
+++ b/src/cornellever/backend/main.cpp
@@ -15,7 +15,8 @@
     TCLAP::MultiArg<std::string> replicas{"", "replica", "IP:PORT of a replica to ship to", false, "address", cmd};
     TCLAP::MultiArg<std::string> scripts{"", "sql", "SQL script run at start, in order", false, "path", cmd};
     TCLAP::ValueArg<std::string> folder{"", "data", "folder for the database file", true, "", "path", cmd};
-    TCLAP::ValueArg<int> lag{"", "lag-ms", "how long a replica holds received writes back", false, 0, "ms", cmd};
+    TCLAP::ValueArg<int> replication_lag{"",   "lag-ms", "how long a replica holds received writes back", false, 0,
+                                         "ms", cmd};
     TCLAP::ValueArg<std::size_t> connections{"", "max-connections", "connections accepted", false, 64, "count", cmd};
     TCLAP::ValueArg<int> delay{"", "connect-delay-ms", "cost of a new connection", false, 0, "ms", cmd};
     TCLAP::ValueArg<std::string> level{"", "log-level", "debug, info, warning or error", false, "info", "level", cmd};
@@ -25,17 +26,18 @@
     }
     backend::instance_settings settings;
     settings.name = name.getValue();
-    settings.starts_as = role.getValue() == "primary" ? backend::role::primary : backend::role::replica;
+    settings.initial_role = role.getValue() == "primary" ? backend::role::primary : backend::role::replica;
     settings.term = term.getValue();
     settings.folder = folder.getValue();
-    settings.lag = std::chrono::milliseconds{lag.getValue()};
+    settings.replication_lag = std::chrono::milliseconds{replication_lag.getValue()};
     settings.max_connections = connections.getValue();
     settings.connect_delay = std::chrono::milliseconds{delay.getValue()};
     for (const auto& script : scripts.getValue()) {
         settings.scripts.emplace_back(script);
     }
-    tcp::endpoint where;
-    if (!parse_endpoint(listen.getValue(), where) || !parse_endpoints(replicas.getValue(), settings.replicas)) {
+    tcp::endpoint listen_address;
+    if (!parse_endpoint(listen.getValue(), listen_address) ||
+        !parse_endpoints(replicas.getValue(), settings.replicas)) {
         return 2;
     }
     event_loop io;
@@ -46,15 +48,15 @@
     }
     rpc::server rpc{io.get_executor()};
     (*created)->bind(rpc);
-    auto bound = rpc.listen(where);
-    if (!bound) {
-        log_event(event::listen_failed, "reason=\"" + bound.error().message + "\"");
+    auto bound_address = rpc.listen(listen_address);
+    if (!bound_address) {
+        log_event(event::listen_failed, "reason=\"" + bound_address.error().message + "\"");
         return 1;
     }
     rpc.start();
     (*created)->start();
     log_event(event::process_started,
-              "role=backend name=" + settings.name + " listen=" + to_string(*bound) + " as=" + role.getValue());
+              "role=backend name=" + settings.name + " listen=" + to_string(*bound_address) + " as=" + role.getValue());
     auto signals = on_stop_signal(io, [&] { io.stop(); });
     io.run();
     io.abandon_pending();
--- a/src/cornellever/backend/replication.cpp
+++ b/src/cornellever/backend/replication.cpp
@@ -13,53 +13,53 @@
 
 constexpr auto poll_interval = std::chrono::milliseconds{2};
 constexpr auto heartbeat_interval = std::chrono::milliseconds{50};
-constexpr auto ship_deadline = std::chrono::milliseconds{1000};
-constexpr auto ship_retry = std::chrono::milliseconds{100};
-constexpr auto longest_wait = std::chrono::milliseconds{10'000};
+constexpr auto ship_timeout = std::chrono::milliseconds{1000};
+constexpr auto ship_retry_interval = std::chrono::milliseconds{100};
+constexpr auto max_receive_wait = std::chrono::milliseconds{10'000};
 constexpr std::size_t ship_batch = 256;
 
 } // namespace
 
 void instance::start_shipping() {
-    m_shipped.clear();
+    m_replica_positions.clear();
     for (const auto& replica : m_settings.replicas) {
-        asio::co_spawn(m_executor, ship(replica, m_reign), asio::detached);
+        asio::co_spawn(m_executor, ship(replica, m_role_epoch), asio::detached);
     }
 }
 
 void instance::step_down() {
-    ++m_reign;
+    ++m_role_epoch;
     m_role = role::replica;
     m_quiescing = false;
-    m_heard_at = clock::now();
-    m_complete_as_of = m_heard_at;
-    for (auto* item : m_clients) {
+    m_primary_contact_at = clock::now();
+    m_received_all_at = m_primary_contact_at;
+    for (auto* item : m_connections) {
         if (item->in_transaction) {
-            item->undo();
+            item->roll_back();
             item->aborted = true;
         }
     }
 }
 
-void instance::keep_term(std::uint64_t term) {
+void instance::adopt_term(std::uint64_t term) {
     if (term > m_term) {
         m_term = term;
         if (m_role == role::primary) {
             step_down();
         }
-        wake_waiting();
+        wake_receive_waiters();
     }
 }
 
-void instance::wake_waiting() {
-    for (auto* wake : m_waiting) {
-        wake->cancel();
+void instance::wake_receive_waiters() {
+    for (auto* timer : m_receive_waiters) {
+        timer->cancel();
     }
 }
 
-void instance::give_up_from(std::uint64_t position) {
+void instance::discard_from(std::uint64_t position) {
     m_log.truncate_from(position);
-    if (m_data.applied() < position) {
+    if (m_data.applied_position() < position) {
         return;
     }
     if (auto rebuilt = m_data.rebuild(); !rebuilt) {
@@ -75,16 +75,16 @@
             continue;
         }
         if (entry.position <= m_log.last()) {
-            give_up_from(entry.position);
+            discard_from(entry.position);
         }
         entry.received_at = clock::now();
         m_log.receive(std::move(entry));
     }
-    wake_waiting();
+    wake_receive_waiters();
 }
 
 instance::answer instance::replicate(params in, rpc::connection& conn) {
-    if (m_faults.cut) {
+    if (m_faults.replication_cut) {
         conn.go_silent = true;
         co_return fail(errc::outcome_unknown, "cut");
     }
@@ -92,8 +92,8 @@
     if (term < m_term || (term == m_term && m_role == role::primary)) {
         co_return fail(errc::fenced, "instance " + m_settings.name + " is in term " + std::to_string(m_term));
     }
-    keep_term(term);
-    m_heard_at = clock::now();
+    adopt_term(term);
+    m_primary_contact_at = clock::now();
     const auto after = in["after"].asUInt64();
     Json::Value out;
     out["matched"] = after == 0 || m_log.holds(after, in["after_term"].asUInt64());
@@ -102,22 +102,22 @@
         co_return out;
     }
     receive(in["entries"]);
-    const auto through = after + in["entries"].size();
-    if (through >= in["primary_last"].asUInt64()) {
-        m_complete_as_of = m_heard_at;
+    const auto last_received = after + in["entries"].size();
+    if (last_received >= in["primary_last"].asUInt64()) {
+        m_received_all_at = m_primary_contact_at;
     }
-    out["received"] = static_cast<Json::UInt64>(through);
+    out["received"] = static_cast<Json::UInt64>(last_received);
     co_return out;
 }
 
-asio::awaitable<void> instance::ship(tcp::endpoint replica, std::uint64_t reign) {
+asio::awaitable<void> instance::ship(tcp::endpoint replica, std::uint64_t role_epoch) {
     rpc::kept_channel link{m_executor, replica};
     // One entry back: a new primary's own first entry is at the end already.
     std::uint64_t sent = m_log.last() > 0 ? m_log.last() - 1 : 0;
     auto last_sent = clock::time_point{};
-    while (m_reign == reign && m_role == role::primary) {
+    while (m_role_epoch == role_epoch && m_role == role::primary) {
         const bool idle = m_log.last() == sent && clock::now() - last_sent < heartbeat_interval;
-        if (idle || m_faults.cut || m_faults.frozen) {
+        if (idle || m_faults.replication_cut || m_faults.frozen) {
             co_await sleep_for(poll_interval);
             continue;
         }
@@ -133,26 +133,26 @@
         params["entries"] = entries;
         params["primary_last"] = static_cast<Json::UInt64>(m_log.last());
         last_sent = clock::now();
-        auto answer = co_await link.call("replicate", params, ship_deadline);
+        auto answer = co_await link.call("replicate", params, ship_timeout);
         if (answer) {
             // A replica whose log does not match here is asked further back,
             // until it does; it then gives up what another primary wrote.
             sent = (*answer)["received"].asUInt64();
-            if (m_reign == reign && (*answer)["matched"].asBool()) {
-                m_shipped[replica] = sent;
+            if (m_role_epoch == role_epoch && (*answer)["matched"].asBool()) {
+                m_replica_positions[replica] = sent;
             }
             log_event(event::backend_shipped,
                       "to=" + cornellever::to_string(replica) + " through=" + std::to_string(sent));
             continue;
         }
-        co_await sleep_for(ship_retry);
+        co_await sleep_for(ship_retry_interval);
     }
 }
 
 asio::awaitable<void> instance::apply_received() {
     for (;;) {
-        const auto* next = m_log.at(m_data.applied() + 1);
-        const bool due = next != nullptr && next->received_at + m_faults.lag <= clock::now();
+        const auto* next = m_log.at(m_data.applied_position() + 1);
+        const bool due = next != nullptr && next->received_at + m_faults.replication_lag <= clock::now();
         if (m_role == role::primary || m_faults.frozen || !due) {
             co_await sleep_for(poll_interval);
             continue;
@@ -169,7 +169,7 @@
 instance::answer instance::await_received(params in, rpc::connection&) {
     const auto term = in["term"].asUInt64();
     const auto position = in["position"].asUInt64();
-    const auto wait = std::min(std::chrono::milliseconds{in.get("wait_ms", 0).asInt64()}, longest_wait);
+    const auto wait = std::min(std::chrono::milliseconds{in.get("wait_ms", 0).asInt64()}, max_receive_wait);
     const auto until = clock::now() + wait;
     for (;;) {
         // Only a replica that still keeps the writer's term may confirm: once
@@ -187,11 +187,11 @@
         if (clock::now() >= until) {
             co_return fail(errc::behind, "instance " + m_settings.name + " has not received it");
         }
-        asio::steady_timer wake{m_executor, until};
-        m_waiting.insert(&wake);
+        asio::steady_timer timer{m_executor, until};
+        m_receive_waiters.insert(&timer);
         boost::system::error_code ignored;
-        co_await wake.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        m_waiting.erase(&wake);
+        co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        m_receive_waiters.erase(&timer);
     }
 }
 
@@ -201,14 +201,14 @@
         co_return fail(errc::fenced,
                        "instance " + m_settings.name + " is not the primary of term " + std::to_string(term));
     }
-    auto out = where_written();
+    auto out = describe_log_end();
     out["held"] = m_log.holds(in["position"].asUInt64(), in["entry_term"].asUInt64());
     co_return out;
 }
 
 bool instance::majority_holds_log() const {
-    const auto whole = [&](const auto& item) { return item.second >= m_log.last(); };
-    const auto holders = 1 + static_cast<std::size_t>(std::ranges::count_if(m_shipped, whole));
+    const auto holds_all = [&](const auto& item) { return item.second >= m_log.last(); };
+    const auto holders = 1 + static_cast<std::size_t>(std::ranges::count_if(m_replica_positions, holds_all));
     return holders >= majority_of(m_settings.replicas.size() + 1);
 }
 
@@ -217,9 +217,9 @@
         co_return fail(errc::fenced, "instance " + m_settings.name + " is not the primary of that term");
     }
     const auto until = clock::now() + std::chrono::milliseconds{in.get("wait_ms", 0).asInt64()};
-    const auto reign = m_reign;
+    const auto role_epoch = m_role_epoch;
     m_quiescing = true;
-    while ((open_transactions() > 0 || !majority_holds_log()) && clock::now() < until && m_reign == reign) {
+    while ((open_transactions() > 0 || !majority_holds_log()) && clock::now() < until && m_role_epoch == role_epoch) {
         co_await sleep_for(poll_interval);
     }
     Json::Value out;
@@ -232,7 +232,7 @@
     if (term < m_term || (term == m_term && m_role == role::primary)) {
         co_return fail(errc::fenced, "instance " + m_settings.name + " keeps term " + std::to_string(m_term));
     }
-    keep_term(term);
+    adopt_term(term);
     Json::Value out;
     out["received"] = static_cast<Json::UInt64>(m_log.last());
     out["received_term"] = static_cast<Json::UInt64>(m_log.end().term);
@@ -246,28 +246,28 @@
                                          ", promotion was for term " + std::to_string(term));
     }
     if (m_role == role::primary) {
-        co_return where_written();
+        co_return describe_log_end();
     }
-    while (const auto* next = m_log.at(m_data.applied() + 1)) {
+    while (const auto* next = m_log.at(m_data.applied_position() + 1)) {
         if (auto applied = m_data.apply(*next); !applied) {
             co_return fail(errc::internal, "received writes do not apply: " + applied.error().message);
         }
     }
     m_settings.replicas.clear();
     for (const auto& item : in["replicas"]) {
-        tcp::endpoint where;
-        if (parse_endpoint(item.asString(), where)) {
-            m_settings.replicas.push_back(where);
+        tcp::endpoint address;
+        if (parse_endpoint(item.asString(), address)) {
+            m_settings.replicas.push_back(address);
         }
     }
-    ++m_reign;
+    ++m_role_epoch;
     m_role = role::primary;
     m_quiescing = false;
     // An empty entry of the new term: a replica that confirms it holds every
     // earlier one too, so writes of older terms become safe with it.
     append({});
     start_shipping();
-    co_return where_written();
+    co_return describe_log_end();
 }
 
 } // namespace cornellever::backend
--- a/src/cornellever/backend/sqlite.cpp
+++ b/src/cornellever/backend/sqlite.cpp
@@ -10,7 +10,7 @@
 
 using statement_ptr = std::unique_ptr<sqlite3_stmt, statement_closer>;
 
-bool only_space(const char* text) {
+bool only_whitespace(const char* text) {
     for (; *text != '\0'; ++text) {
         if (*text != ' ' && *text != '\n' && *text != '\t' && *text != '\r' && *text != ';') {
             return false;
@@ -82,7 +82,7 @@
     const std::string text{script};
     sqlite3_set_authorizer(m_handle.get(), nullptr, nullptr);
     const int code = sqlite3_exec(m_handle.get(), text.c_str(), nullptr, nullptr, &message);
-    if (m_guarded) {
+    if (m_refuses_connection_statements) {
         refuse_connection_statements();
     }
     if (code != SQLITE_OK) {
@@ -115,7 +115,7 @@
 } // namespace
 
 void sqlite_connection::refuse_connection_statements() {
-    m_guarded = true;
+    m_refuses_connection_statements = true;
     sqlite3_set_authorizer(m_handle.get(), deny_connection_statements, nullptr);
 }
 
@@ -138,7 +138,7 @@
         return fail(classify_failure(prepared), sqlite3_errmsg(m_handle.get()));
     }
     if (tail != nullptr && tail < sql.data() + sql.size() &&
-        !only_space(std::string{tail, sql.data() + sql.size()}.c_str())) {
+        !only_whitespace(std::string{tail, sql.data() + sql.size()}.c_str())) {
         return fail(errc::bad_request, "one statement per request");
     }
     for (Json::ArrayIndex index = 0; index < params.size(); ++index) {
--- a/src/cornellever/backend/sqlite.hpp
+++ b/src/cornellever/backend/sqlite.hpp
@@ -59,7 +59,7 @@
     explicit sqlite_connection(sqlite3* handle) : m_handle{handle} {}
 
     std::unique_ptr<sqlite3, closer> m_handle;
-    bool m_guarded{false};
+    bool m_refuses_connection_statements{false};
 };
 
 } // namespace cornellever::backend
