--- a/src/cornellever/standin/faults.hpp
+++ b/src/cornellever/standin/faults.hpp
@@ -11,9 +11,9 @@
     /// Every call is refused as unavailable, before it does anything.
     bool down{false};
     /// Every call waits this long before it is handled.
-    std::chrono::milliseconds slow{0};
+    std::chrono::milliseconds added_latency{0};
     /// The next this-many writes take effect but their answers are lost.
-    int lose_answers{0};
+    int answers_to_drop{0};
 };
 
 /// Updates the switches named in `params`, leaving the others as they are.
--- a/src/cornellever/standin/main.cpp
+++ b/src/cornellever/standin/main.cpp
@@ -17,23 +17,23 @@
     if (!start_logging("platform", level.getValue())) {
         return 2;
     }
-    tcp::endpoint where;
-    if (!parse_endpoint(listen.getValue(), where)) {
+    tcp::endpoint listen_address;
+    if (!parse_endpoint(listen.getValue(), listen_address)) {
         std::fprintf(stderr, "--listen must be IP:PORT\n");
         return 2;
     }
     event_loop io;
-    standin::service stand_in{
-        io.get_executor(), standin::service_settings{std::chrono::milliseconds{lag.getValue()}, snapshot.getValue()}};
+    standin::platform_service platform{
+        io.get_executor(), standin::platform_settings{std::chrono::milliseconds{lag.getValue()}, snapshot.getValue()}};
     rpc::server rpc{io.get_executor()};
-    stand_in.bind(rpc);
-    auto bound = rpc.listen(where);
-    if (!bound) {
-        log_event(event::listen_failed, "reason=\"" + bound.error().message + "\"");
+    platform.bind(rpc);
+    auto bound_address = rpc.listen(listen_address);
+    if (!bound_address) {
+        log_event(event::listen_failed, "reason=\"" + bound_address.error().message + "\"");
         return 1;
     }
     rpc.start();
-    log_event(event::process_started, "role=platform listen=" + to_string(*bound));
+    log_event(event::process_started, "role=platform listen=" + to_string(*bound_address));
     auto signals = on_stop_signal(io, [&] {
         log_event(event::process_stopping, "role=platform");
         io.stop();
--- a/src/cornellever/standin/platform_service.cpp
+++ b/src/cornellever/standin/platform_service.cpp
@@ -8,28 +8,29 @@
 
 namespace cornellever::standin {
 
-service::service(asio::any_io_executor executor, service_settings settings)
+platform_service::platform_service(asio::any_io_executor executor, platform_settings settings)
     : m_executor{std::move(executor)}
     , m_settings{std::move(settings)}
-    , m_vms{m_settings.vm_list_lag} {
+    , m_vm_list{m_settings.vm_list_lag} {
     load_snapshot();
 }
 
-void service::bind(rpc::server& rpc) {
-    const auto add = [&](std::string name, bool writes, result<Json::Value> (service::*call)(params)) {
-        rpc.on(std::move(name),
-               [this, writes, call](params in, rpc::connection& conn) { return guarded(in, conn, writes, call); });
+void platform_service::bind(rpc::server& rpc) {
+    const auto add_method = [&](std::string name, bool writes, result<Json::Value> (platform_service::*call)(params)) {
+        rpc.on(std::move(name), [this, writes, call](params in, rpc::connection& conn) {
+            return call_with_faults(in, conn, writes, call);
+        });
     };
-    add("table.get", false, &service::table_get);
-    add("table.put", true, &service::table_put);
-    add("table.transact", true, &service::table_transact);
-    add("table.list", false, &service::table_list);
-    add("object.put", true, &service::object_put);
-    add("object.get", false, &service::object_get);
-    add("object.list", false, &service::object_list);
-    add("vms.set", true, &service::vms_set);
-    add("vms.list", false, &service::vms_list);
-    add("dump", false, &service::dump);
+    add_method("table.get", false, &platform_service::table_get);
+    add_method("table.put", true, &platform_service::table_put);
+    add_method("table.transact", true, &platform_service::table_transact);
+    add_method("table.list", false, &platform_service::table_list);
+    add_method("object.put", true, &platform_service::object_put);
+    add_method("object.get", false, &platform_service::object_get);
+    add_method("object.list", false, &platform_service::object_list);
+    add_method("vms.set", true, &platform_service::vms_set);
+    add_method("vms.list", false, &platform_service::vms_list);
+    add_method("dump", false, &platform_service::dump);
     rpc.on("fault.set", [this](params in, rpc::connection&) -> asio::awaitable<result<Json::Value>> {
         update(m_faults, in);
         log_event(event::platform_fault_set, rpc::to_text(to_json(m_faults)));
@@ -37,10 +38,11 @@
     });
 }
 
-asio::awaitable<result<Json::Value>> service::guarded(params in, rpc::connection& conn, bool writes,
-                                                      result<Json::Value> (service::*call)(params)) {
-    if (m_faults.slow.count() > 0) {
-        co_await sleep_for(m_faults.slow);
+asio::awaitable<result<Json::Value>>
+platform_service::call_with_faults(params in, rpc::connection& conn, bool writes,
+                                   result<Json::Value> (platform_service::*call)(params)) {
+    if (m_faults.added_latency.count() > 0) {
+        co_await sleep_for(m_faults.added_latency);
     }
     if (m_faults.down) {
         co_return fail(errc::unavailable, "the platform's table service is down");
@@ -48,15 +50,15 @@
     auto answer = (this->*call)(in);
     if (writes && answer) {
         save_snapshot();
-        if (m_faults.lose_answers > 0) {
-            --m_faults.lose_answers;
+        if (m_faults.answers_to_drop > 0) {
+            --m_faults.answers_to_drop;
             conn.drop_answer = true;
         }
     }
     co_return answer;
 }
 
-result<Json::Value> service::table_get(params in) {
+result<Json::Value> platform_service::table_get(params in) {
     auto found = m_table.get(in["key"].asString());
     if (!found) {
         return std::unexpected{found.error()};
@@ -68,7 +70,7 @@
     return out;
 }
 
-result<Json::Value> service::table_put(params in) {
+result<Json::Value> platform_service::table_put(params in) {
     if (!in["key"].isString() || !in["expected_version"].isIntegral()) {
         return fail(errc::bad_request, "table.put needs key, value and expected_version");
     }
@@ -83,14 +85,14 @@
     return out;
 }
 
-result<Json::Value> service::table_transact(params in) {
-    std::vector<check> checks;
+result<Json::Value> platform_service::table_transact(params in) {
+    std::vector<row_precondition> checks;
     for (const auto& item : in["checks"]) {
-        checks.push_back(check{item["key"].asString(), item["version"].asUInt64()});
+        checks.push_back(row_precondition{item["key"].asString(), item["version"].asUInt64()});
     }
-    std::vector<put> writes;
+    std::vector<row_write> writes;
     for (const auto& item : in["puts"]) {
-        writes.push_back(put{item["key"].asString(), item["value"]});
+        writes.push_back(row_write{item["key"].asString(), item["value"]});
     }
     auto versions = m_table.transact(checks, writes);
     if (!versions) {
@@ -103,7 +105,7 @@
     return out;
 }
 
-result<Json::Value> service::table_list(params in) {
+result<Json::Value> platform_service::table_list(params in) {
     Json::Value out{Json::arrayValue};
     for (const auto& [key, version] : m_table.list(in["prefix"].asString())) {
         Json::Value item;
@@ -114,7 +116,7 @@
     return out;
 }
 
-result<Json::Value> service::object_put(params in) {
+result<Json::Value> platform_service::object_put(params in) {
     if (!in["name"].isString() || !in["data"].isString()) {
         return fail(errc::bad_request, "object.put needs name and data");
     }
@@ -122,7 +124,7 @@
     return Json::Value{Json::objectValue};
 }
 
-result<Json::Value> service::object_get(params in) {
+result<Json::Value> platform_service::object_get(params in) {
     const auto found = m_objects.find(in["name"].asString());
     if (found == m_objects.end()) {
         return fail(errc::not_found, "no object '" + in["name"].asString() + "'");
@@ -132,7 +134,7 @@
     return out;
 }
 
-result<Json::Value> service::object_list(params in) {
+result<Json::Value> platform_service::object_list(params in) {
     Json::Value out{Json::arrayValue};
     const auto prefix = in["prefix"].asString();
     for (auto it = m_objects.lower_bound(prefix); it != m_objects.end() && it->first.starts_with(prefix); ++it) {
@@ -141,25 +143,25 @@
     return out;
 }
 
-result<Json::Value> service::vms_set(params in) {
+result<Json::Value> platform_service::vms_set(params in) {
     vm_state state{};
     if (!in["address"].isString() || !parse_vm_state(in["state"].asString(), state)) {
         return fail(errc::bad_request, "vms.set needs address and state (live, leaving or gone)");
     }
-    m_vms.set(in["address"].asString(), vm{state, in.get("kind", "backend").asString()}, vm_list::clock::now());
+    m_vm_list.set(in["address"].asString(), vm{state, in.get("kind", "backend").asString()}, vm_list::clock::now());
     return Json::Value{Json::objectValue};
 }
 
-result<Json::Value> service::vms_list(params) {
+result<Json::Value> platform_service::vms_list(params) {
     Json::Value out{Json::objectValue};
-    for (const auto& [address, item] : m_vms.view(vm_list::clock::now())) {
+    for (const auto& [address, item] : m_vm_list.visible_at(vm_list::clock::now())) {
         out[address]["state"] = std::string{to_string(item.state)};
         out[address]["kind"] = item.kind;
     }
     return out;
 }
 
-result<Json::Value> service::dump(params) {
+result<Json::Value> platform_service::dump(params) {
     Json::Value out;
     out["role"] = "platform";
     out["faults"] = to_json(m_faults);
@@ -171,7 +173,7 @@
     return out;
 }
 
-void service::save_snapshot() {
+void platform_service::save_snapshot() {
     if (m_settings.snapshot.empty()) {
         return;
     }
@@ -199,7 +201,7 @@
     }
 }
 
-void service::load_snapshot() {
+void platform_service::load_snapshot() {
     if (m_settings.snapshot.empty()) {
         return;
     }
--- a/src/cornellever/standin/platform_service.hpp
+++ b/src/cornellever/standin/platform_service.hpp
@@ -13,16 +13,16 @@
 namespace cornellever::standin {
 
 /// Settings of the platform stand-in.
-struct service_settings {
+struct platform_settings {
     std::chrono::milliseconds vm_list_lag{2000};
     std::filesystem::path snapshot;
 };
 
 /// The platform stand-in's methods over one RPC server: `table.*`,
 /// `object.*`, `vms.*`, `fault.set` and `dump`. Single-threaded.
-class service {
+class platform_service {
 public:
-    service(asio::any_io_executor executor, service_settings settings);
+    platform_service(asio::any_io_executor executor, platform_settings settings);
 
     /// Registers every method on `rpc`.
     void bind(rpc::server& rpc);
@@ -30,8 +30,8 @@
 private:
     using params = const Json::Value&;
 
-    asio::awaitable<result<Json::Value>> guarded(params in, rpc::connection& conn, bool writes,
-                                                 result<Json::Value> (service::*call)(params));
+    asio::awaitable<result<Json::Value>> call_with_faults(params in, rpc::connection& conn, bool writes,
+                                                          result<Json::Value> (platform_service::*call)(params));
     result<Json::Value> table_get(params in);
     result<Json::Value> table_put(params in);
     result<Json::Value> table_transact(params in);
@@ -46,10 +46,10 @@
     void load_snapshot();
 
     asio::any_io_executor m_executor;
-    service_settings m_settings;
+    platform_settings m_settings;
     table m_table;
     std::map<std::string, std::string, std::less<>> m_objects;
-    vm_list m_vms;
+    vm_list m_vm_list;
     faults m_faults;
 };
 
--- a/src/cornellever/standin/table.cpp
+++ b/src/cornellever/standin/table.cpp
@@ -16,8 +16,8 @@
 }
 
 result<std::uint64_t> table::compare_and_set(std::string_view key, std::uint64_t expected, const Json::Value& value) {
-    const check condition{std::string{key}, expected};
-    const put write{std::string{key}, value};
+    const row_precondition condition{std::string{key}, expected};
+    const row_write write{std::string{key}, value};
     auto versions = transact(std::span{&condition, 1}, std::span{&write, 1});
     if (!versions) {
         return std::unexpected{versions.error()};
@@ -25,7 +25,8 @@
     return versions->front();
 }
 
-result<std::vector<std::uint64_t>> table::transact(std::span<const check> checks, std::span<const put> writes) {
+result<std::vector<std::uint64_t>> table::transact(std::span<const row_precondition> checks,
+                                                   std::span<const row_write> writes) {
     for (const auto& condition : checks) {
         const auto actual = version_of(condition.key);
         if (actual != condition.version) {
--- a/src/cornellever/standin/table.hpp
+++ b/src/cornellever/standin/table.hpp
@@ -21,13 +21,13 @@
 };
 
 /// A precondition of a transaction: `key` is at `version` (0: absent).
-struct check {
+struct row_precondition {
     std::string key;
     std::uint64_t version{0};
 };
 
 /// A write of a transaction.
-struct put {
+struct row_write {
     std::string key;
     Json::Value value;
 };
@@ -46,8 +46,8 @@
 
     /// Applies all `writes` when every check holds, else none.
     /// Errors: `conflict` naming the first check that failed.
-    [[nodiscard]] result<std::vector<std::uint64_t>> transact(std::span<const check> checks,
-                                                              std::span<const put> writes);
+    [[nodiscard]] result<std::vector<std::uint64_t>> transact(std::span<const row_precondition> checks,
+                                                              std::span<const row_write> writes);
 
     /// Keys starting with `prefix`, with their versions, in key order.
     [[nodiscard]] std::vector<std::pair<std::string, std::uint64_t>> list(std::string_view prefix) const;
--- a/src/cornellever/standin/vm_list.cpp
+++ b/src/cornellever/standin/vm_list.cpp
@@ -6,7 +6,7 @@
     m_changes.push_back(change{now, std::move(address), std::move(value)});
 }
 
-std::map<std::string, vm> vm_list::view(clock::time_point now) const {
+std::map<std::string, vm> vm_list::visible_at(clock::time_point now) const {
     std::map<std::string, vm> out;
     for (const auto& item : m_changes) {
         if (item.at + m_lag > now) {
--- a/src/cornellever/standin/vm_list.hpp
+++ b/src/cornellever/standin/vm_list.hpp
@@ -30,7 +30,7 @@
     void set(std::string address, vm value, clock::time_point now);
 
     /// The list as readers see it at `now`: changes older than the lag.
-    [[nodiscard]] std::map<std::string, vm> view(clock::time_point now) const;
+    [[nodiscard]] std::map<std::string, vm> visible_at(clock::time_point now) const;
 
 private:
     struct change {
