--- a/src/cornellever/bench/caller_session.hpp
+++ b/src/cornellever/bench/caller_session.hpp
@@ -16,16 +16,16 @@
 namespace cornellever::bench {
 
 /// The database a bench run works on.
-struct bench_target {
+struct target_database {
     std::string service;
     std::string database;
 };
 
 /// A caller's session as a caller library would keep it: the token of its
 /// latest answer, and a connection to each proxy it has talked to.
-class caller {
+class caller_session {
 public:
-    caller(asio::any_io_executor executor, std::vector<tcp::endpoint> proxies, bench_target target);
+    caller_session(asio::any_io_executor executor, std::vector<tcp::endpoint> proxies, target_database target);
 
     /// Calls `method` on proxy `index`, adding service, database and the
     /// session token to `params`, and keeps the token of the answer.
@@ -33,7 +33,7 @@
                                               std::chrono::milliseconds deadline);
 
     /// Closes the connection to proxy `index` without a word.
-    void vanish(std::size_t index) { m_links[index].reset(); }
+    void drop_connection(std::size_t index) { m_links[index].reset(); }
 
     /// How many proxies there are to roam between.
     [[nodiscard]] std::size_t proxies() const noexcept { return m_proxies.size(); }
@@ -42,8 +42,8 @@
     asio::any_io_executor m_executor;
     std::vector<tcp::endpoint> m_proxies;
     std::vector<std::unique_ptr<rpc::channel>> m_links;
-    bench_target m_target;
-    Json::Value m_session{Json::objectValue};
+    target_database m_target;
+    Json::Value m_session_token{Json::objectValue};
 };
 
 /// A statement's params: its text and one bound text per `bound`. Not an
--- a/src/cornellever/bench/differential.cpp
+++ b/src/cornellever/bench/differential.cpp
@@ -19,7 +19,7 @@
 constexpr auto select_own = "SELECT page FROM bench_pages WHERE owner = ? ORDER BY page";
 
 /// What an answer says, without what may rightly differ between the two.
-std::string essence(const result<Json::Value>& answer) {
+std::string comparable_part(const result<Json::Value>& answer) {
     if (!answer) {
         return "error " + std::string{to_string(answer.error().code)};
     }
@@ -39,60 +39,61 @@
         , m_random{plan.seed} {}
 
     asio::awaitable<void> run() {
-        caller setup{m_executor, m_plan.proxies, m_plan.target};
-        co_await both(setup, statement(create_table));
+        caller_session setup{m_executor, m_plan.proxies, m_plan.target};
+        co_await execute_on_both(setup, statement(create_table));
         for (std::size_t index = 0; index < m_plan.sessions && m_report.failure.empty(); ++index) {
-            co_await one_session("s" + std::to_string(m_plan.seed) + "-" + std::to_string(index));
+            co_await run_one_session("s" + std::to_string(m_plan.seed) + "-" + std::to_string(index));
         }
     }
 
     differential_report& report() { return m_report; }
 
 private:
-    asio::awaitable<void> one_session(std::string owner) {
-        caller me{m_executor, m_plan.proxies, m_plan.target};
+    asio::awaitable<void> run_one_session(std::string owner) {
+        caller_session session{m_executor, m_plan.proxies, m_plan.target};
         for (std::size_t step = 0; step < m_plan.steps && m_report.failure.empty(); ++step) {
             const auto page = "p" + std::to_string(m_random() % 8);
             switch (m_random() % 10) {
             case 0:
-                co_await both(me, statement(insert_page, owner, page));
+                co_await execute_on_both(session, statement(insert_page, owner, page));
                 break;
             case 1:
-                co_await both(me, statement(update_page, owner, page));
+                co_await execute_on_both(session, statement(update_page, owner, page));
                 break;
             case 2:
-                co_await both_transaction(me, owner, page);
+                co_await run_transaction_on_both(session, owner, page);
                 break;
             default:
-                co_await both_read(me, owner);
+                co_await read_on_both(session, owner);
                 break;
             }
         }
     }
 
-    asio::awaitable<void> both(caller& me, Json::Value params) {
-        auto through = co_await timed_call(me, m_random() % me.proxies(), "execute", params);
-        auto straight = co_await straight_call("execute", params);
-        compare(params["sql"].asString(), through, straight);
+    asio::awaitable<void> execute_on_both(caller_session& session, Json::Value params) {
+        auto proxied_answer = co_await timed_call(session, m_random() % session.proxies(), "execute", params);
+        auto direct_answer = co_await direct_call("execute", params);
+        compare(params["sql"].asString(), proxied_answer, direct_answer);
     }
 
-    asio::awaitable<void> both_read(caller& me, const std::string& owner) {
+    asio::awaitable<void> read_on_both(caller_session& session, const std::string& owner) {
         auto params = statement(select_own, owner);
-        auto straight = co_await straight_call("execute", params);
+        auto direct_answer = co_await direct_call("execute", params);
         params["mode"] = "read";
-        auto through = co_await timed_call(me, m_random() % me.proxies(), "execute", params);
+        auto proxied_answer = co_await timed_call(session, m_random() % session.proxies(), "execute", params);
         ++m_report.reads;
-        if (through && (*through)["served_by"]["role"] == "replica") {
+        if (proxied_answer && (*proxied_answer)["served_by"]["role"] == "replica") {
             ++m_report.replica_reads;
         }
-        compare("own pages of " + owner, through, straight);
+        compare("own pages of " + owner, proxied_answer, direct_answer);
     }
 
-    asio::awaitable<void> both_transaction(caller& me, const std::string& owner, const std::string& page) {
-        const auto proxy = m_random() % me.proxies();
+    asio::awaitable<void> run_transaction_on_both(caller_session& session, const std::string& owner,
+                                                  const std::string& page) {
+        const auto proxy = m_random() % session.proxies();
         const bool commits = m_random() % 3 != 0;
-        auto begun = co_await me.call(proxy, "begin", Json::Value{Json::objectValue}, call_deadline);
-        (void)co_await straight_call("begin", Json::Value{Json::objectValue});
+        auto begun = co_await session.call(proxy, "begin", Json::Value{Json::objectValue}, call_deadline);
+        (void)co_await direct_call("begin", Json::Value{Json::objectValue});
         if (!begun) {
             m_report.failure = "begin: " + begun.error().message;
             co_return;
@@ -100,40 +101,42 @@
         for (const auto* suffix : {"x", "y"}) {
             const auto text = page + suffix;
             auto params = statement(insert_page, owner, text);
-            auto straight = co_await straight_call("execute", params);
+            auto direct_answer = co_await direct_call("execute", params);
             params["transaction"] = (*begun)["transaction"];
-            auto through = co_await timed_call(me, proxy, "execute", params);
-            compare("insert in transaction", through, straight);
+            auto proxied_answer = co_await timed_call(session, proxy, "execute", params);
+            compare("insert in transaction", proxied_answer, direct_answer);
         }
         Json::Value finish;
         finish["transaction"] = (*begun)["transaction"];
         const auto* method = commits ? "commit" : "rollback";
-        auto through = co_await me.call(proxy, method, finish, call_deadline);
-        auto straight = co_await straight_call(method, Json::Value{Json::objectValue});
-        if (through.has_value() != straight.has_value()) {
+        auto proxied_answer = co_await session.call(proxy, method, finish, call_deadline);
+        auto direct_answer = co_await direct_call(method, Json::Value{Json::objectValue});
+        if (proxied_answer.has_value() != direct_answer.has_value()) {
             m_report.differences.push_back(std::string{method} + " of " + owner);
         }
     }
 
-    asio::awaitable<result<Json::Value>> timed_call(caller& me, std::size_t proxy, std::string_view method,
+    asio::awaitable<result<Json::Value>> timed_call(caller_session& session, std::size_t proxy, std::string_view method,
                                                     Json::Value params) {
         const auto started = clock::now();
-        auto answer = co_await me.call(proxy, method, std::move(params), call_deadline);
+        auto answer = co_await session.call(proxy, method, std::move(params), call_deadline);
         m_report.proxied.record(clock::now() - started);
         co_return answer;
     }
 
-    asio::awaitable<result<Json::Value>> straight_call(std::string_view method, Json::Value params) {
+    asio::awaitable<result<Json::Value>> direct_call(std::string_view method, Json::Value params) {
         const auto started = clock::now();
         auto answer = co_await m_naive.call(method, params, call_deadline);
         m_report.naive.record(clock::now() - started);
         co_return answer;
     }
 
-    void compare(const std::string& what, const result<Json::Value>& through, const result<Json::Value>& straight) {
+    void compare(const std::string& what, const result<Json::Value>& proxied_answer,
+                 const result<Json::Value>& direct_answer) {
         ++m_report.answers;
-        if (essence(through) != essence(straight)) {
-            m_report.differences.push_back(what + ": " + essence(through) + " against naive " + essence(straight));
+        if (comparable_part(proxied_answer) != comparable_part(direct_answer)) {
+            m_report.differences.push_back(what + ": " + comparable_part(proxied_answer) + " against naive " +
+                                           comparable_part(direct_answer));
         }
     }
 
--- a/src/cornellever/bench/differential.hpp
+++ b/src/cornellever/bench/differential.hpp
@@ -16,7 +16,7 @@
     std::vector<tcp::endpoint> proxies;
     /// The naive version's only instance.
     tcp::endpoint naive;
-    bench_target target;
+    target_database target;
     std::size_t sessions{20};
     std::size_t steps{30};
     std::uint64_t seed{1};
--- a/src/cornellever/bench/failover_gap.hpp
+++ b/src/cornellever/bench/failover_gap.hpp
@@ -13,19 +13,19 @@
 /// Repeated losses of a primary: each round freezes the primary stand-in of
 /// the database, times how long no write is acknowledged, thaws it and waits
 /// until it follows as a replica.
-struct gap_plan {
+struct failover_gap_plan {
     std::vector<tcp::endpoint> proxies;
-    bench_target target;
+    target_database target;
     int rounds{5};
-    /// The naive version's only instance; frozen once for `absence` when given.
+    /// The naive version's only instance; frozen once for `naive_outage` when given.
     std::optional<tcp::endpoint> naive;
     /// How long the naive version's primary stays away: as long as nobody is
     /// awake to do anything about it, here kept short.
-    std::chrono::milliseconds absence{5000};
+    std::chrono::milliseconds naive_outage{5000};
 };
 
 /// What callers saw over the rounds.
-struct gap_report {
+struct failover_gap_report {
     /// From the freeze to the next acknowledged write, per round.
     std::vector<std::chrono::milliseconds> gaps;
     metrics::latency histogram;
@@ -35,11 +35,11 @@
     std::string failure;
 };
 
-/// Runs the plan; a round without an acknowledged write for `longest_gap`
+/// Runs the plan; a round without an acknowledged write for `max_gap`
 /// ends it.
-[[nodiscard]] gap_report run_gap(const gap_plan& plan);
+[[nodiscard]] failover_gap_report measure_failover_gap(const failover_gap_plan& plan);
 
 /// How long a round waits for a write to be acknowledged again.
-inline constexpr auto longest_gap = std::chrono::seconds{15};
+inline constexpr auto max_gap = std::chrono::seconds{15};
 
 } // namespace cornellever::bench
--- a/src/cornellever/bench/load.cpp
+++ b/src/cornellever/bench/load.cpp
@@ -12,27 +12,27 @@
 
 using clock = std::chrono::steady_clock;
 
-asio::awaitable<void> one_session(const load_plan& plan, clock::time_point until, load_figures& into) {
+asio::awaitable<void> send_until(const load_plan& plan, clock::time_point until, load_result& totals) {
     rpc::channel link{co_await asio::this_coro::executor, plan.target};
     while (clock::now() < until) {
         const auto started = clock::now();
         auto answer = co_await link.call(plan.method, plan.params, call_deadline);
         if (answer) {
-            ++into.completed;
-            into.latency.record(clock::now() - started);
+            ++totals.completed;
+            totals.latency.record(clock::now() - started);
         } else {
-            ++into.failed;
-            into.cut += answer.error().code == errc::outcome_unknown ? 1 : 0;
+            ++totals.failed;
+            totals.unanswered += answer.error().code == errc::outcome_unknown ? 1 : 0;
             // A caller goes to another proxy when this one is gone or refuses.
             if (!link.usable() || answer.error().code == errc::unavailable) {
                 break;
             }
         }
     }
-    into.bytes += link.bytes_sent() + link.bytes_received();
+    totals.bytes += link.bytes_sent() + link.bytes_received();
 }
 
-std::chrono::microseconds own_cpu() {
+std::chrono::microseconds process_cpu_time() {
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
     const auto micros = [](const timeval& value) {
@@ -41,8 +41,8 @@
     return micros(usage.ru_utime) + micros(usage.ru_stime);
 }
 
-asio::awaitable<void> hold_one(tcp::endpoint target, std::string method, std::chrono::milliseconds hold,
-                               std::size_t& open) {
+asio::awaitable<void> hold_connection(tcp::endpoint target, std::string method, std::chrono::milliseconds hold,
+                                      std::size_t& open) {
     rpc::channel link{co_await asio::this_coro::executor, target};
     auto answer = co_await link.call(method, Json::Value{Json::objectValue}, call_deadline);
     if (!link.usable() || (!answer && answer.error().code == errc::unavailable)) {
@@ -56,23 +56,23 @@
 
 } // namespace
 
-double load_figures::per_second() const {
+double load_result::per_second() const {
     const auto seconds = std::chrono::duration<double>(elapsed).count();
     return seconds > 0 ? static_cast<double>(completed) / seconds : 0.0;
 }
 
-load_figures run_load(const load_plan& plan) {
+load_result run_load(const load_plan& plan) {
     asio::io_context io;
-    load_figures out;
+    load_result out;
     const auto started = clock::now();
-    const auto cpu_before = own_cpu();
+    const auto cpu_before = process_cpu_time();
     const auto until = started + plan.duration;
     for (std::size_t index = 0; index < plan.sessions; ++index) {
-        asio::co_spawn(io, one_session(plan, until, out), asio::detached);
+        asio::co_spawn(io, send_until(plan, until, out), asio::detached);
     }
     io.run();
     out.elapsed = clock::now() - started;
-    out.cpu = own_cpu() - cpu_before;
+    out.cpu = process_cpu_time() - cpu_before;
     return out;
 }
 
@@ -81,7 +81,7 @@
     asio::io_context io;
     std::size_t open = 0;
     for (std::size_t index = 0; index < count; ++index) {
-        asio::co_spawn(io, hold_one(target, std::string{method}, hold, open), asio::detached);
+        asio::co_spawn(io, hold_connection(target, std::string{method}, hold, open), asio::detached);
     }
     io.run();
     return open;
--- a/src/cornellever/bench/load.hpp
+++ b/src/cornellever/bench/load.hpp
@@ -22,11 +22,11 @@
 };
 
 /// What a load run measured.
-struct load_figures {
+struct load_result {
     std::size_t completed{0};
     std::size_t failed{0};
     /// Failures whose outcome is unknown: the request was sent and its answer cut.
-    std::size_t cut{0};
+    std::size_t unanswered{0};
     std::chrono::nanoseconds elapsed{0};
     std::chrono::microseconds cpu{0};
     std::uint64_t bytes{0};
@@ -38,7 +38,7 @@
 /// Runs the plan on one thread and returns the figures; `cpu` is this
 /// process's own processor time (user and system) over the run, `bytes`
 /// what crossed the wire both ways.
-[[nodiscard]] load_figures run_load(const load_plan& plan);
+[[nodiscard]] load_result run_load(const load_plan& plan);
 
 /// Opens `count` connections to `target`, makes one `method` call on each,
 /// then holds them all open for `hold` (to measure a server's memory per
--- a/src/cornellever/bench/main.cpp
+++ b/src/cornellever/bench/main.cpp
@@ -36,7 +36,7 @@
         const auto& served = item.answer["served_by"];
         std::printf(
             "%-2zu proxy %c  %-8s %-44s -> %s%s%s\n", index + 1, static_cast<char>('A' + item.proxy),
-            item.method.c_str(), step.say.c_str(), item.ok ? "ok" : item.answer["error"].asCString(),
+            item.method.c_str(), step.description.c_str(), item.ok ? "ok" : item.answer["error"].asCString(),
             served.isObject() ? (" by " + served["role"].asString() + " " + served["instance"].asString()).c_str() : "",
             item.answer["rows"].isArray() && !item.answer["rows"].empty()
                 ? ("  rows " + rpc::to_text(item.answer["rows"])).c_str()
@@ -50,10 +50,10 @@
     return 0;
 }
 
-void print_figures(const char* label, const bench::load_figures& figures) {
+void print_figures(const char* label, const bench::load_result& figures) {
     std::printf("%-22s %8zu ok %4zu failed %4zu cut  %9.0f statements/s  p50 %7.0f us  p99 %7.0f us\n", label,
-                figures.completed, figures.failed, figures.cut, figures.per_second(), figures.latency.quantile_us(0.5),
-                figures.latency.quantile_us(0.99));
+                figures.completed, figures.failed, figures.unanswered, figures.per_second(),
+                figures.latency.quantile_us(0.5), figures.latency.quantile_us(0.99));
 }
 
 int run_call_mode(const tcp::endpoint& target, const std::string& method, const std::string& params_text,
@@ -76,23 +76,23 @@
     Json::Value statement;
     statement["sql"] = sql;
     statement["params"] = Json::arrayValue;
-    auto through = statement;
-    through["service"] = service;
-    through["database"] = database;
-    through["mode"] = "write";
+    auto proxied_statement = statement;
+    proxied_statement["service"] = service;
+    proxied_statement["database"] = database;
+    proxied_statement["mode"] = "write";
     const auto duration = std::chrono::milliseconds{millis};
-    const auto via_proxy = bench::run_load({proxy, "execute", through, sessions, duration});
-    const auto straight = bench::run_load({direct, "execute", statement, sessions, duration});
-    print_figures("through the proxy", via_proxy);
-    print_figures("straight to backend", straight);
+    const auto proxied_figures = bench::run_load({proxy, "execute", proxied_statement, sessions, duration});
+    const auto direct_figures = bench::run_load({direct, "execute", statement, sessions, duration});
+    print_figures("through the proxy", proxied_figures);
+    print_figures("straight to backend", direct_figures);
     std::printf("ratio proxy/direct: throughput %.2f  p50 %.2f  p99 %.2f\n",
-                via_proxy.per_second() / std::max(straight.per_second(), 1e-9),
-                via_proxy.latency.quantile_us(0.5) / std::max(straight.latency.quantile_us(0.5), 1e-9),
-                via_proxy.latency.quantile_us(0.99) / std::max(straight.latency.quantile_us(0.99), 1e-9));
-    return via_proxy.failed + straight.failed == 0 ? 0 : 1;
+                proxied_figures.per_second() / std::max(direct_figures.per_second(), 1e-9),
+                proxied_figures.latency.quantile_us(0.5) / std::max(direct_figures.latency.quantile_us(0.5), 1e-9),
+                proxied_figures.latency.quantile_us(0.99) / std::max(direct_figures.latency.quantile_us(0.99), 1e-9));
+    return proxied_figures.failed + direct_figures.failed == 0 ? 0 : 1;
 }
 
-double share(std::size_t part, std::size_t whole) {
+double fraction(std::size_t part, std::size_t whole) {
     return whole == 0 ? 0.0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
@@ -107,17 +107,17 @@
 int run_verify_mode(const bench::verify_plan& plan) {
     const auto report = bench::run_verify(plan);
     std::printf("told: done %zu, not run %zu, unknown %zu\n", report.done, report.not_run, report.unknown);
-    std::printf("own reads %zu, by replicas %.3f\n", report.reads, share(report.replica_reads, report.reads));
+    std::printf("own reads %zu, by replicas %.3f\n", report.reads, fraction(report.replica_reads, report.reads));
     print_findings("reads without an answer", report.read_errors);
     std::printf("longest time without an acknowledged write %lld ms\n",
                 static_cast<long long>(report.longest_gap.count()));
     std::printf("writes p50 %.0f us p99 %.0f us, reads p50 %.0f us p99 %.0f us\n",
                 report.write_latency.quantile_us(0.5), report.write_latency.quantile_us(0.99),
                 report.read_latency.quantile_us(0.5), report.read_latency.quantile_us(0.99));
-    print_findings("acknowledged, not exactly once", report.lost_or_doubled);
-    print_findings("told not run, but ran", report.ran_after_all);
-    print_findings("torn or mixed", report.torn);
-    print_findings("own write not seen", report.unseen);
+    print_findings("acknowledged, not exactly once", report.not_exactly_once);
+    print_findings("told not run, but ran", report.unexpectedly_applied);
+    print_findings("torn or mixed", report.partially_applied);
+    print_findings("own write not seen", report.missing_own_writes);
     if (!report.check_failure.empty()) {
         std::printf("not checked: %s\n", report.check_failure.c_str());
     }
@@ -125,8 +125,8 @@
     return report.clean() ? 0 : 1;
 }
 
-int run_gap_mode(const bench::gap_plan& plan) {
-    const auto report = bench::run_gap(plan);
+int run_gap_mode(const bench::failover_gap_plan& plan) {
+    const auto report = bench::measure_failover_gap(plan);
     for (const auto gap : report.gaps) {
         std::printf("gap %lld ms\n", static_cast<long long>(gap.count()));
     }
@@ -135,7 +135,8 @@
                 report.gaps.empty() ? 0LL : static_cast<long long>(std::ranges::max(report.gaps).count()));
     if (report.naive_gap) {
         std::printf("naive version, primary away for %lld ms: gap %lld ms\n",
-                    static_cast<long long>(plan.absence.count()), static_cast<long long>(report.naive_gap->count()));
+                    static_cast<long long>(plan.naive_outage.count()),
+                    static_cast<long long>(report.naive_gap->count()));
     }
     if (!report.failure.empty()) {
         std::printf("ended early: %s\n", report.failure.c_str());
@@ -146,7 +147,7 @@
 int run_differential_mode(const bench::differential_plan& plan) {
     const auto report = bench::run_differential(plan);
     std::printf("answers compared %zu, reads %zu, by replicas %.3f (naive 0)\n", report.answers, report.reads,
-                share(report.replica_reads, report.reads));
+                fraction(report.replica_reads, report.reads));
     std::printf("proxied p50 %.0f us p99 %.0f us, naive p50 %.0f us p99 %.0f us\n", report.proxied.quantile_us(0.5),
                 report.proxied.quantile_us(0.99), report.naive.quantile_us(0.5), report.naive.quantile_us(0.99));
     print_findings("differences", report.differences);
@@ -187,12 +188,13 @@
     TCLAP::ValueArg<std::size_t> steps{"", "steps", "steps of each session (differential)", false, 30, "count", cmd};
     cmd.parse(static_cast<int>(args.size()), args.data());
     init_logging("bench", severity::warning);
-    tcp::endpoint any;
-    if (mode.getValue() == "call" && parse_endpoint(target.getValue(), any)) {
-        return run_call_mode(any, method.getValue(), params.getValue(), sessions.getValue(), millis.getValue());
+    tcp::endpoint server_address;
+    if (mode.getValue() == "call" && parse_endpoint(target.getValue(), server_address)) {
+        return run_call_mode(server_address, method.getValue(), params.getValue(), sessions.getValue(),
+                             millis.getValue());
     }
-    if (mode.getValue() == "hold" && parse_endpoint(target.getValue(), any)) {
-        const auto open = bench::hold_connections(any, method.getValue(), connections.getValue(),
+    if (mode.getValue() == "hold" && parse_endpoint(target.getValue(), server_address)) {
+        const auto open = bench::hold_connections(server_address, method.getValue(), connections.getValue(),
                                                   std::chrono::milliseconds{millis.getValue()});
         std::printf("held %zu connections for %d ms\n", open, millis.getValue());
         return open == connections.getValue() ? 0 : 1;
@@ -205,24 +207,25 @@
     if (mode.getValue() == "session") {
         return run_session_mode(script.getValue(), targets, transcript.getValue());
     }
-    const bench::bench_target on{service.getValue(), database.getValue()};
+    const bench::target_database selected_database{service.getValue(), database.getValue()};
     if (mode.getValue() == "verify") {
         return run_verify_mode({.proxies = targets,
-                                .target = on,
+                                .target = selected_database,
                                 .callers = sessions.getValue(),
                                 .duration = std::chrono::milliseconds{millis.getValue()},
                                 .seed = seed.getValue()});
     }
     tcp::endpoint backend;
     if (mode.getValue() == "gap") {
-        bench::gap_plan plan{targets, on, rounds.getValue(), std::nullopt};
+        bench::failover_gap_plan plan{targets, selected_database, rounds.getValue(), std::nullopt};
         if (parse_endpoint(direct.getValue(), backend)) {
             plan.naive = backend;
         }
         return run_gap_mode(plan);
     }
     if (mode.getValue() == "differential" && parse_endpoint(direct.getValue(), backend)) {
-        return run_differential_mode({targets, backend, on, sessions.getValue(), steps.getValue(), seed.getValue()});
+        return run_differential_mode(
+            {targets, backend, selected_database, sessions.getValue(), steps.getValue(), seed.getValue()});
     }
     if (mode.getValue() == "load" && parse_endpoint(direct.getValue(), backend)) {
         return run_load_mode(targets.front(), backend, service.getValue(), database.getValue(), sql.getValue(),
--- a/src/cornellever/bench/session_script.hpp
+++ b/src/cornellever/bench/session_script.hpp
@@ -17,7 +17,7 @@
 /// for the id of the latest `begin`.
 struct session_step {
     std::size_t proxy{0};
-    std::string say;
+    std::string description;
     std::string method;
     Json::Value params;
 };
--- a/src/cornellever/bench/verify.cpp
+++ b/src/cornellever/bench/verify.cpp
@@ -11,9 +11,9 @@
 using clock = std::chrono::steady_clock;
 
 constexpr auto call_deadline = std::chrono::milliseconds{8000};
-constexpr auto check_patience = std::chrono::seconds{15};
-constexpr auto retry_pause = std::chrono::milliseconds{50};
-constexpr std::size_t rows_of_transaction = 3;
+constexpr auto check_timeout = std::chrono::seconds{15};
+constexpr auto retry_interval = std::chrono::milliseconds{50};
+constexpr std::size_t rows_per_transaction = 3;
 
 constexpr auto create_table = "CREATE TABLE IF NOT EXISTS bench_ledger (tag TEXT NOT NULL, part INTEGER NOT NULL)";
 constexpr auto create_index = "CREATE INDEX IF NOT EXISTS bench_ledger_tag ON bench_ledger (tag)";
@@ -22,101 +22,101 @@
 constexpr auto count_all = "SELECT tag, count(*) FROM bench_ledger GROUP BY tag";
 
 /// What a caller was finally told about a tag.
-enum class told { done, not_run, unknown };
+enum class reported_outcome { done, not_run, unknown };
 
 struct tag_outcome {
-    told answer{told::unknown};
+    reported_outcome reported{reported_outcome::unknown};
     std::size_t rows{1};
 };
 
-told told_by(const result<Json::Value>& answer) {
+reported_outcome outcome_of(const result<Json::Value>& answer) {
     if (answer) {
-        return told::done;
+        return reported_outcome::done;
     }
-    return ran_not(answer.error().code) ? told::not_run : told::unknown;
+    return ran_not(answer.error().code) ? reported_outcome::not_run : reported_outcome::unknown;
 }
 
 /// One run's shared state; its callers all live on one thread.
 class workload {
 public:
-    workload(asio::io_context& io, const verify_plan& plan) : m_io{io}, m_plan{plan}, m_until{clock::now()} {}
+    workload(asio::io_context& io, const verify_plan& plan) : m_io{io}, m_plan{plan}, m_deadline{clock::now()} {}
 
     asio::awaitable<void> run() {
-        if (auto ready = co_await prepare(); !ready) {
+        if (auto ready = co_await create_ledger(); !ready) {
             m_report.check_failure = "the ledger table could not be made: " + ready.error().message;
             co_return;
         }
-        m_until = clock::now() + m_plan.duration;
+        m_deadline = clock::now() + m_plan.duration;
         m_last_ack = clock::now();
-        m_running = m_plan.callers;
+        m_active_callers = m_plan.callers;
         for (std::size_t index = 0; index < m_plan.callers; ++index) {
-            asio::co_spawn(m_io, one_caller(index), asio::detached);
+            asio::co_spawn(m_io, run_caller(index), asio::detached);
         }
-        while (m_running > 0) {
-            co_await sleep_for(retry_pause);
+        while (m_active_callers > 0) {
+            co_await sleep_for(retry_interval);
         }
-        note_end();
+        record_final_gap();
         co_await check();
     }
 
     verify_report& report() { return m_report; }
 
 private:
-    asio::awaitable<result<void>> prepare() {
+    asio::awaitable<result<void>> create_ledger() {
         for (const auto* sql : {create_table, create_index}) {
-            auto made = co_await until_done(statement(sql));
-            if (!made) {
-                co_return std::unexpected{made.error()};
+            auto created = co_await retry_until_answered(statement(sql));
+            if (!created) {
+                co_return std::unexpected{created.error()};
             }
         }
         co_return result<void>{};
     }
 
     /// A repeatable statement, asked again until it is answered.
-    asio::awaitable<result<Json::Value>> until_done(Json::Value params) {
-        caller me{m_io.get_executor(), m_plan.proxies, m_plan.target};
-        const auto give_up = clock::now() + check_patience;
-        for (std::size_t turn = 0;; ++turn) {
-            auto answer = co_await me.call(turn % me.proxies(), "execute", params, call_deadline);
-            if (answer || clock::now() > give_up) {
+    asio::awaitable<result<Json::Value>> retry_until_answered(Json::Value params) {
+        caller_session session{m_io.get_executor(), m_plan.proxies, m_plan.target};
+        const auto retry_deadline = clock::now() + check_timeout;
+        for (std::size_t attempt = 0;; ++attempt) {
+            auto answer = co_await session.call(attempt % session.proxies(), "execute", params, call_deadline);
+            if (answer || clock::now() > retry_deadline) {
                 co_return answer;
             }
-            co_await sleep_for(retry_pause);
+            co_await sleep_for(retry_interval);
         }
     }
 
-    asio::awaitable<void> one_caller(std::size_t index) {
+    asio::awaitable<void> run_caller(std::size_t index) {
         std::mt19937_64 random{m_plan.seed * 1000 + index};
-        caller me{m_io.get_executor(), m_plan.proxies, m_plan.target};
-        for (std::size_t number = 0; clock::now() < m_until; ++number) {
+        caller_session session{m_io.get_executor(), m_plan.proxies, m_plan.target};
+        for (std::size_t number = 0; clock::now() < m_deadline; ++number) {
             const auto tag =
                 "s" + std::to_string(m_plan.seed) + "-" + std::to_string(index) + "-" + std::to_string(number);
             tag_outcome outcome;
             switch (random() % 3) {
             case 0:
-                outcome.answer = co_await write_once(me, tag, random);
+                outcome.reported = co_await write_with_request_id(session, tag, random);
                 break;
             case 1:
-                outcome.answer = co_await write_plain(me, tag, random);
+                outcome.reported = co_await write_without_request_id(session, tag, random);
                 break;
             default:
-                outcome = co_await transaction(me, tag, random);
+                outcome = co_await transaction(session, tag, random);
                 break;
             }
-            note(tag, outcome);
-            if (outcome.answer == told::done && outcome.rows > 0) {
-                co_await read_back(me, tag, outcome.rows, random);
+            record_outcome(tag, outcome);
+            if (outcome.reported == reported_outcome::done && outcome.rows > 0) {
+                co_await read_back(session, tag, outcome.rows, random);
             }
         }
-        --m_running;
+        --m_active_callers;
     }
 
-    void note(const std::string& tag, const tag_outcome& outcome) {
-        m_outcomes[tag] = outcome;
-        m_report.done += outcome.answer == told::done ? 1 : 0;
-        m_report.not_run += outcome.answer == told::not_run ? 1 : 0;
-        m_report.unknown += outcome.answer == told::unknown ? 1 : 0;
-        if (outcome.answer == told::done && outcome.rows > 0) {
+    void record_outcome(const std::string& tag, const tag_outcome& outcome) {
+        m_outcomes_by_tag[tag] = outcome;
+        m_report.done += outcome.reported == reported_outcome::done ? 1 : 0;
+        m_report.not_run += outcome.reported == reported_outcome::not_run ? 1 : 0;
+        m_report.unknown += outcome.reported == reported_outcome::unknown ? 1 : 0;
+        if (outcome.reported == reported_outcome::done && outcome.rows > 0) {
             const auto gap = std::chrono::duration_cast<std::chrono::milliseconds>(clock::now() - m_last_ack);
             m_report.longest_gap = std::max(m_report.longest_gap, gap);
             m_last_ack = clock::now();
@@ -124,8 +124,8 @@
     }
 
     /// Counts the time from the last acknowledged write to the end of the run.
-    void note_end() {
-        const auto tail = std::chrono::duration_cast<std::chrono::milliseconds>(m_until - m_last_ack);
+    void record_final_gap() {
+        const auto tail = std::chrono::duration_cast<std::chrono::milliseconds>(m_deadline - m_last_ack);
         m_report.longest_gap = std::max(m_report.longest_gap, tail);
     }
 
@@ -133,66 +133,69 @@
         return statement(insert_row, tag, std::to_string(part));
     }
 
-    asio::awaitable<told> write_plain(caller& me, const std::string& tag, std::mt19937_64& random) {
+    asio::awaitable<reported_outcome> write_without_request_id(caller_session& session, const std::string& tag,
+                                                               std::mt19937_64& random) {
         const auto started = clock::now();
-        auto answer = co_await me.call(random() % me.proxies(), "execute", insert(tag, 0), call_deadline);
+        auto answer = co_await session.call(random() % session.proxies(), "execute", insert(tag, 0), call_deadline);
         m_report.write_latency.record(clock::now() - started);
-        co_return told_by(answer);
+        co_return outcome_of(answer);
     }
 
-    asio::awaitable<told> write_once(caller& me, const std::string& tag, std::mt19937_64& random) {
+    asio::awaitable<reported_outcome> write_with_request_id(caller_session& session, const std::string& tag,
+                                                            std::mt19937_64& random) {
         const auto started = clock::now();
         bool in_doubt = false;
         for (;;) {
             auto params = insert(tag, 0);
             params["request_id"] = tag;
-            auto answer = co_await me.call(random() % me.proxies(), "execute", params, call_deadline);
-            const auto now_told = told_by(answer);
-            in_doubt = in_doubt || now_told == told::unknown;
-            if (now_told == told::done || clock::now() - started > m_plan.patience) {
+            auto answer = co_await session.call(random() % session.proxies(), "execute", params, call_deadline);
+            const auto latest = outcome_of(answer);
+            in_doubt = in_doubt || latest == reported_outcome::unknown;
+            if (latest == reported_outcome::done || clock::now() - started > m_plan.retry_timeout) {
                 m_report.write_latency.record(clock::now() - started);
-                co_return now_told == told::not_run&& in_doubt ? told::unknown : now_told;
+                co_return latest == reported_outcome::not_run&& in_doubt ? reported_outcome::unknown : latest;
             }
-            co_await sleep_for(retry_pause);
+            co_await sleep_for(retry_interval);
         }
     }
 
-    asio::awaitable<tag_outcome> transaction(caller& me, const std::string& tag, std::mt19937_64& random) {
-        const auto proxy = random() % me.proxies();
+    asio::awaitable<tag_outcome> transaction(caller_session& session, const std::string& tag, std::mt19937_64& random) {
+        const auto proxy = random() % session.proxies();
         const auto ending = random() % 10;
-        auto begun = co_await me.call(proxy, "begin", Json::Value{Json::objectValue}, call_deadline);
+        auto begun = co_await session.call(proxy, "begin", Json::Value{Json::objectValue}, call_deadline);
         if (!begun) {
-            co_return tag_outcome{told::not_run, rows_of_transaction};
+            co_return tag_outcome{reported_outcome::not_run, rows_per_transaction};
         }
         const auto id = (*begun)["transaction"].asString();
-        for (std::size_t part = 0; part < rows_of_transaction; ++part) {
+        for (std::size_t part = 0; part < rows_per_transaction; ++part) {
             auto params = insert(tag, part);
             params["transaction"] = id;
-            auto answer = co_await me.call(proxy, "execute", params, call_deadline);
+            auto answer = co_await session.call(proxy, "execute", params, call_deadline);
             if (!answer) {
-                me.vanish(proxy);
-                co_return tag_outcome{told::not_run, rows_of_transaction};
+                session.drop_connection(proxy);
+                co_return tag_outcome{reported_outcome::not_run, rows_per_transaction};
             }
         }
         Json::Value finish;
         finish["transaction"] = id;
         if (ending == 0) {
-            me.vanish(proxy);
-            co_return tag_outcome{told::not_run, rows_of_transaction};
+            session.drop_connection(proxy);
+            co_return tag_outcome{reported_outcome::not_run, rows_per_transaction};
         }
         if (ending == 1) {
-            (void)co_await me.call(proxy, "rollback", finish, call_deadline);
-            co_return tag_outcome{told::not_run, rows_of_transaction};
+            (void)co_await session.call(proxy, "rollback", finish, call_deadline);
+            co_return tag_outcome{reported_outcome::not_run, rows_per_transaction};
         }
-        auto committed = co_await me.call(proxy, "commit", finish, call_deadline);
-        co_return tag_outcome{told_by(committed), rows_of_transaction};
+        auto committed = co_await session.call(proxy, "commit", finish, call_deadline);
+        co_return tag_outcome{outcome_of(committed), rows_per_transaction};
     }
 
-    asio::awaitable<void> read_back(caller& me, const std::string& tag, std::size_t rows, std::mt19937_64& random) {
+    asio::awaitable<void> read_back(caller_session& session, const std::string& tag, std::size_t rows,
+                                    std::mt19937_64& random) {
         auto params = statement(count_own, tag);
         params["mode"] = "read";
         const auto started = clock::now();
-        auto answer = co_await me.call(random() % me.proxies(), "execute", params, call_deadline);
+        auto answer = co_await session.call(random() % session.proxies(), "execute", params, call_deadline);
         ++m_report.reads;
         if (!answer) {
             m_report.read_errors.push_back(std::string{to_string(answer.error().code)} + ": " + answer.error().message);
@@ -201,12 +204,12 @@
         m_report.read_latency.record(clock::now() - started);
         m_report.replica_reads += (*answer)["served_by"]["role"] == "replica" ? 1 : 0;
         if ((*answer)["rows"][0][0].asUInt64() != rows) {
-            m_report.unseen.push_back(tag + " by " + (*answer)["served_by"]["instance"].asString());
+            m_report.missing_own_writes.push_back(tag + " by " + (*answer)["served_by"]["instance"].asString());
         }
     }
 
     asio::awaitable<void> check() {
-        auto counted = co_await until_done(statement(count_all));
+        auto counted = co_await retry_until_answered(statement(count_all));
         if (!counted) {
             m_report.check_failure = "the ledger could not be counted: " + counted.error().message;
             co_return;
@@ -215,29 +218,29 @@
         for (const auto& row : (*counted)["rows"]) {
             found[row[0].asString()] = static_cast<std::size_t>(row[1].asUInt64());
         }
-        for (const auto& [tag, outcome] : m_outcomes) {
+        for (const auto& [tag, outcome] : m_outcomes_by_tag) {
             compare(tag, outcome, found[tag]);
         }
     }
 
     void compare(const std::string& tag, const tag_outcome& outcome, std::size_t found) {
         const auto finding = tag + ": " + std::to_string(found) + " of " + std::to_string(outcome.rows) + " rows";
-        if (outcome.answer == told::done && found != outcome.rows) {
-            m_report.lost_or_doubled.push_back(finding);
-        } else if (outcome.answer == told::not_run && found != 0) {
-            m_report.ran_after_all.push_back(finding);
+        if (outcome.reported == reported_outcome::done && found != outcome.rows) {
+            m_report.not_exactly_once.push_back(finding);
+        } else if (outcome.reported == reported_outcome::not_run && found != 0) {
+            m_report.unexpectedly_applied.push_back(finding);
         } else if (found != 0 && found != outcome.rows) {
-            m_report.torn.push_back(finding);
+            m_report.partially_applied.push_back(finding);
         }
     }
 
     asio::io_context& m_io;
     const verify_plan& m_plan;
     verify_report m_report;
-    std::map<std::string, tag_outcome> m_outcomes;
-    clock::time_point m_until;
+    std::map<std::string, tag_outcome> m_outcomes_by_tag;
+    clock::time_point m_deadline;
     clock::time_point m_last_ack;
-    std::size_t m_running{0};
+    std::size_t m_active_callers{0};
 };
 
 } // namespace
--- a/src/cornellever/bench/verify.hpp
+++ b/src/cornellever/bench/verify.hpp
@@ -16,12 +16,12 @@
 /// whichever proxy, and in the end every tag is counted in the database.
 struct verify_plan {
     std::vector<tcp::endpoint> proxies;
-    bench_target target;
+    target_database target;
     std::size_t callers{16};
     std::chrono::milliseconds duration{5000};
     std::uint64_t seed{1};
     /// How long a request with an id is asked again before its caller gives up.
-    std::chrono::milliseconds patience{15000};
+    std::chrono::milliseconds retry_timeout{15000};
 };
 
 /// What callers were told, and where the database disagrees with it.
@@ -33,14 +33,14 @@
     std::size_t replica_reads{0};
     std::vector<std::string> read_errors;
     /// Acknowledged, but not exactly once in the database.
-    std::vector<std::string> lost_or_doubled;
+    std::vector<std::string> not_exactly_once;
     /// Answered "not run" or rolled back, but in the database.
-    std::vector<std::string> ran_after_all;
+    std::vector<std::string> unexpectedly_applied;
     /// Neither whole nor absent: a transaction that mixed or tore, or an
     /// unknown outcome that happened twice.
-    std::vector<std::string> torn;
+    std::vector<std::string> partially_applied;
     /// A session that did not see its own acknowledged write.
-    std::vector<std::string> unseen;
+    std::vector<std::string> missing_own_writes;
     /// The longest time between two acknowledged writes of any callers.
     std::chrono::milliseconds longest_gap{0};
     metrics::latency write_latency;
@@ -49,8 +49,8 @@
     std::string check_failure;
 
     [[nodiscard]] bool clean() const noexcept {
-        return lost_or_doubled.empty() && ran_after_all.empty() && torn.empty() && unseen.empty() &&
-               check_failure.empty();
+        return not_exactly_once.empty() && unexpectedly_applied.empty() && partially_applied.empty() &&
+               missing_own_writes.empty() && check_failure.empty();
     }
 };
 
