--- a/src/cornellever/backend/connection_context.hpp
+++ b/src/cornellever/backend/connection_context.hpp
@@ -8,7 +8,8 @@
 
 namespace cornellever::backend {
 
-/// One caller connection's SQLite connection and open transaction.
+/// State of one caller connection: its SQLite connection and its open
+/// transaction, if any. Registers itself in the instance's set of connections.
 struct instance::connection_context : rpc::connection_state {
     connection_context(std::uint64_t connection_id, sqlite_connection connection, std::uint64_t database_generation,
                        std::set<connection_context*>& registry)
@@ -22,7 +23,7 @@
     connection_context(const connection_context&) = delete;
     connection_context& operator=(const connection_context&) = delete;
 
-    /// Ends the open transaction, undoing it.
+    /// Rolls back the open transaction, if there is one.
     void roll_back() {
         if (db.in_transaction()) {
             (void)db.exec("ROLLBACK");
@@ -31,13 +32,16 @@
         pending.clear();
     }
 
-    /// The caller connection's id, by which `terminate` names it.
+    /// The RPC connection's id; `begin` returns it and `terminate` takes it.
     std::uint64_t id;
     sqlite_connection db;
+    /// The database generation that `db` was opened on.
     std::uint64_t generation;
     bool in_transaction{false};
-    /// The server undid the open transaction; its caller has yet to be told.
+    /// The server rolled back the open transaction and has not yet reported
+    /// it to the caller.
     bool aborted{false};
+    /// Write statements of the open transaction; logged when it commits.
     std::vector<logged_statement> pending;
 
 private:
--- a/src/cornellever/backend/database.hpp
+++ b/src/cornellever/backend/database.hpp
@@ -10,33 +10,37 @@
 
 namespace cornellever::backend {
 
-/// The SQLite database of one instance, built from seed scripts and the
-/// entries of its log. A log that has to give up entries (another primary
-/// wrote others at their positions) is undone by rebuilding from the seed
-/// into a new file: `generation` tells connections that theirs is stale.
+/// The SQLite database of one instance, built from the seed scripts and the
+/// entries of the write log. Applied entries cannot be undone one by one, so
+/// when the log is truncated below the applied position (a newer primary wrote
+/// other entries there), the database is rebuilt from the seed scripts in a new
+/// file. `generation` counts these rebuilds, so that connections to an earlier
+/// file can be detected.
 class database {
 public:
-    /// Creates the first generation in `folder`. Errors: `internal`.
+    /// Creates the first generation in `folder` and runs `scripts` on it.
+    /// Errors: `internal` when a script cannot be read or fails.
     [[nodiscard]] static result<database> create(std::filesystem::path folder,
                                                  std::vector<std::filesystem::path> scripts);
 
-    /// Starts again from the seed scripts, nothing applied.
+    /// Replaces the database by a new generation that holds only the seed
+    /// data, with no log entry applied.
     [[nodiscard]] result<void> rebuild();
 
-    /// Applies one log entry in one transaction.
+    /// Applies one log entry in one transaction; rolled back on error.
     [[nodiscard]] result<void> apply(const log_entry& entry);
 
-    /// Opens a caller's connection to the present generation.
+    /// Opens a connection to the current generation for a caller.
     [[nodiscard]] result<sqlite_connection> connect() const;
 
-    /// Counts rebuilds; a connection from another generation is stale.
+    /// The number of rebuilds; a connection to another generation is stale.
     [[nodiscard]] std::uint64_t generation() const noexcept { return m_generation; }
 
-    /// The position of the last entry applied.
+    /// The log position of the last entry in the database.
     [[nodiscard]] std::uint64_t applied_position() const noexcept { return m_applied_position; }
 
-    /// Records that `position` is in the database because a caller's own
-    /// connection committed it here, on the primary.
+    /// Records that the entry at `position` is in the database already: on a
+    /// primary, the caller's own connection has committed it.
     void record_local_commit(std::uint64_t position) noexcept { m_applied_position = position; }
 
 private:
--- a/src/cornellever/backend/instance.cpp
+++ b/src/cornellever/backend/instance.cpp
@@ -42,7 +42,7 @@
     const auto add_method = [&](std::string name, answer (instance::*call)(params, rpc::connection&)) {
         const bool is_replication = name == "replicate";
         rpc.on(std::move(name), [this, call, is_replication](params in, rpc::connection& conn) -> answer {
-            if (m_faults.frozen || (m_faults.caller_traffic_cut && !is_replication)) {
+            if (m_faults.frozen || (m_faults.caller_traffic_blocked && !is_replication)) {
                 conn.go_silent = true;
                 return [](std::string instance_name) -> answer {
                     co_return fail(errc::outcome_unknown, instance_name + " is frozen");
--- a/src/cornellever/backend/instance.hpp
+++ b/src/cornellever/backend/instance.hpp
@@ -17,30 +17,37 @@
 
 namespace cornellever::backend {
 
-/// Whether an instance takes writes or follows a primary.
+/// Whether an instance accepts writes or replicates from a primary.
 enum class role { primary, replica };
 
 /// Settings of one stand-in database server instance.
 struct instance_settings {
     std::string name;
+    /// The role at start; `promote` or a higher term changes it later.
     role initial_role{role::replica};
     std::uint64_t term{1};
+    /// The replicas that a primary ships its log to.
     std::vector<tcp::endpoint> replicas;
+    /// SQL scripts that create the schema and seed data, in order.
     std::vector<std::filesystem::path> scripts;
+    /// Holds the database files.
     std::filesystem::path folder;
+    /// How long a replica waits after receiving an entry before applying it.
     std::chrono::milliseconds replication_lag{0};
+    /// Simulated cost of opening a connection.
     std::chrono::milliseconds connect_delay{0};
     std::size_t max_connections{64};
 };
 
-/// A stand-in database server instance: a real SQLite database, a role, a
-/// term and a log. A primary appends each committed write to its log and
-/// ships it; replicas receive it at once and apply it `replication_lag` later.
+/// A stand-in for a backend server, used in tests and demonstrations: a SQLite
+/// database with a role, a term and a write log. A primary appends each
+/// committed write to its log and ships it; replicas receive entries at once
+/// and apply them after the configured replication lag.
 ///
-/// Terms fence: an instance remembers the highest term it was asked to keep
-/// (`fence`, `promote`, `replicate`) and refuses whatever carries a lower
-/// one. A primary that learns of a higher term becomes a replica and rolls
-/// back its open transactions.
+/// The term is a fencing token: an instance remembers the highest term it
+/// has received in `fence` or `replicate` and refuses writes, replication and
+/// promotions that carry a lower one. A primary that receives a higher term
+/// becomes a replica and rolls back its open transactions.
 ///
 /// Methods for callers: `execute`, `begin`, `commit`, `rollback`,
 /// `terminate`, `await_received`, `find_entry`, `status`, `dump`. For promotion:
@@ -49,14 +56,15 @@
 class instance {
 public:
     /// Creates the database in `settings.folder` and runs the scripts.
-    /// Errors: `internal` when the database cannot be made.
+    /// Errors: `internal` when the database cannot be created.
     [[nodiscard]] static result<std::unique_ptr<instance>> create(asio::any_io_executor executor,
                                                                   instance_settings settings);
 
     /// Registers every method on `rpc`.
     void bind(rpc::server& rpc);
 
-    /// Starts shipping (while primary) and applying (while replica).
+    /// Starts the tasks that ship the log (while primary) and apply received
+    /// entries (while replica).
     void start();
 
 private:
@@ -71,48 +79,79 @@
     answer begin(params in, rpc::connection& conn);
     answer commit(params in, rpc::connection& conn);
     answer rollback(params in, rpc::connection& conn);
-    /// Undoes the open transaction of another connection, named by what its
-    /// `begin` answered; nothing when it has none.
+    /// Rolls back the open transaction of another connection, identified by
+    /// the `session` that its `begin` returned. Does nothing when it has none.
     answer terminate(params in, rpc::connection& conn);
     answer status(params in, rpc::connection& conn);
     answer dump(params in, rpc::connection& conn);
     answer set_fault(params in, rpc::connection& conn);
+    /// Waits, at most `wait_ms`, until the log holds the entry that the primary
+    /// of `term` wrote at `position`.
     answer await_received(params in, rpc::connection& conn);
-    /// Whether the log of the primary of `term` holds, at `position`, the
-    /// entry written in `entry_term`; also where that log ends.
+    /// Answers, as the primary of `term`, whether the log holds at `position`
+    /// the entry written in `entry_term`, and where the log ends.
     answer find_entry(params in, rpc::connection& conn);
+    /// Receives log entries from the primary. Answers `matched`, whether the
+    /// log agrees with the primary's at `after`, and `received`, the position to
+    /// ship from next.
     answer replicate(params in, rpc::connection& conn);
-    /// Takes no new writes and waits, at most `wait_ms`, until transactions
-    /// have ended and a majority holds the log whole.
+    /// Stops accepting new writes and transactions and waits, at most `wait_ms`,
+    /// until open transactions have ended and a majority holds the complete log.
     answer quiesce(params in, rpc::connection& conn);
+    /// Adopts `term`, so that a primary of a lower term can no longer write or
+    /// replicate here, and answers where the log ends.
     answer fence(params in, rpc::connection& conn);
+    /// Applies every received entry and becomes the primary of `term`, which must
+    /// be this instance's current term.
     answer promote(params in, rpc::connection& conn);
 
+    /// Returns the context of `conn`; creates one when it has none or when its
+    /// database generation is stale.
     asio::awaitable<result<connection_context*>> context_of(rpc::connection& conn);
+    /// Applies the faults that lose or delay the answer of a statement that ran.
     asio::awaitable<void> apply_answer_faults(rpc::connection& conn);
+    /// Checks the term, position and staleness that a read requires.
     [[nodiscard]] result<void> admit_read(params in) const;
+    /// Checks the role and term that a write requires.
     [[nodiscard]] result<void> admit_write(params in) const;
-    /// Tells a caller, once, that stepping down undid its transaction.
+    /// Fails once with `fenced` after the server rolled back the caller's
+    /// transaction.
     [[nodiscard]] result<void> report_abort(connection_context& caller) const;
+    /// Logs the refusal of a request and returns it as the result.
     [[nodiscard]] std::unexpected<error> log_refusal(const error& refusal) const;
+    /// The last position of the log, the term and the instance's name.
     [[nodiscard]] Json::Value describe_log_end() const;
+    /// How far the database may be behind the primary, as an upper bound; zero
+    /// on a primary.
     [[nodiscard]] std::chrono::milliseconds staleness() const;
     [[nodiscard]] std::size_t open_transactions() const;
-    /// Whether a majority of the instances, this primary included, hold its log whole.
+    /// Whether a majority of the instances, this primary included, holds its
+    /// complete log.
     [[nodiscard]] bool majority_holds_log() const;
-    /// What a heartbeat needs; every byte of it is sent by each proxy
-    /// several times a second.
+    /// The fields that a heartbeat needs and no others: every proxy requests
+    /// them several times a second.
     [[nodiscard]] Json::Value heartbeat_status() const;
+    /// The complete state, for dumps.
     [[nodiscard]] Json::Value describe() const;
 
+    /// Appends a transaction that is committed in the database to the log.
     void append(std::vector<logged_statement> statements);
+    /// Becomes a replica and rolls back all open transactions.
     void step_down();
+    /// Raises the term to `term` when it is higher; a primary then steps down.
     void adopt_term(std::uint64_t term);
+    /// Wakes the `await_received` calls in progress to check again.
     void wake_receive_waiters();
+    /// Adds received entries to the log; an entry of another term at the same
+    /// position is discarded with all entries after it.
     void receive(const Json::Value& entries);
+    /// Truncates the log from `position` on and rebuilds the database when it
+    /// had applied a discarded entry.
     void discard_from(std::uint64_t position);
     void start_shipping();
+    /// Ships the log to one replica until the role changes.
     asio::awaitable<void> ship(tcp::endpoint replica, std::uint64_t role_epoch);
+    /// While a replica, applies received entries after the replication lag.
     asio::awaitable<void> apply_received();
 
     asio::any_io_executor m_executor;
@@ -120,18 +159,20 @@
     database m_data;
     role m_role;
     std::uint64_t m_term;
-    /// Counts changes of role; shipping loops of an earlier reign end.
+    /// Counts role changes; a task started in an earlier epoch ends.
     std::uint64_t m_role_epoch{0};
     bool m_quiescing{false};
     write_log m_log;
-    /// How far each replica of this reign has confirmed to hold the log.
+    /// The last log position that each replica has confirmed in this epoch.
     std::map<tcp::endpoint, std::uint64_t> m_replica_positions;
     faults m_faults;
     std::uint64_t m_statements{0};
     std::set<connection_context*> m_connections;
-    /// Timers of the `await_received` calls under way.
+    /// Timers of the `await_received` calls in progress.
     std::set<asio::steady_timer*> m_receive_waiters;
+    /// When the primary last replicated to this instance.
     clock::time_point m_primary_contact_at;
+    /// When this instance last held the primary's complete log.
     clock::time_point m_received_all_at;
 };
 
--- a/src/cornellever/backend/log.hpp
+++ b/src/cornellever/backend/log.hpp
@@ -11,22 +11,24 @@
 
 namespace cornellever::backend {
 
-/// A statement as it is shipped to replicas: SQL text and its parameters.
+/// A write statement as it is shipped to replicas: SQL text and parameters.
 struct logged_statement {
     std::string sql;
     Json::Value params;
 };
 
-/// One committed write transaction at a log position.
+/// One committed write transaction at a log position, with the term of the
+/// primary that wrote it.
 struct log_entry {
     std::uint64_t position{0};
     std::uint64_t term{0};
+    /// When this instance appended or received the entry.
     std::chrono::steady_clock::time_point received_at;
     std::vector<logged_statement> statements;
 };
 
-/// Where a log ends; ordered by term first, as a later term's entry at the
-/// same position replaces an earlier one's.
+/// The end of a log. Ordered by term first: an entry of a later term replaces
+/// one of an earlier term at the same position.
 struct log_end {
     std::uint64_t term{0};
     std::uint64_t position{0};
@@ -34,24 +36,26 @@
     friend auto operator<=>(const log_end&, const log_end&) = default;
 };
 
-/// An instance's log of committed writes, kept whole in memory: a primary
-/// ships from it, a replica receives into it before applying.
+/// An instance's log of committed writes, held completely in memory: a primary
+/// ships entries from it, a replica stores received entries in it before
+/// applying them.
 class write_log {
 public:
-    /// Appends a committed transaction at the next position, which it returns.
+    /// Appends a committed transaction and returns its position.
     std::uint64_t append(std::uint64_t term, std::vector<logged_statement> statements,
                          std::chrono::steady_clock::time_point now);
 
-    /// Adds an entry received from the primary; its position must be the next.
+    /// Adds an entry received from the primary; its position must follow the
+    /// last one.
     void receive(log_entry entry);
 
-    /// Drops the entries from `position` on.
+    /// Removes the entries from `position` on.
     void truncate_from(std::uint64_t position);
 
     /// The entries after `position`, at most `limit` of them.
     [[nodiscard]] std::vector<const log_entry*> after(std::uint64_t position, std::size_t limit) const;
 
-    /// The entry at `position`, or null when it is not held.
+    /// The entry at `position`, or null when the log does not hold it.
     [[nodiscard]] const log_entry* at(std::uint64_t position) const;
 
     /// The position of the last entry; 0 for an empty log.
@@ -71,7 +75,7 @@
 /// A log entry as JSON for the `replicate` call.
 [[nodiscard]] Json::Value to_json(const log_entry& entry);
 
-/// A log entry back from JSON; statements without SQL are dropped.
+/// Parses a log entry from JSON; statements without SQL text are skipped.
 [[nodiscard]] log_entry entry_from_json(const Json::Value& value);
 
 } // namespace cornellever::backend
--- a/src/cornellever/backend/replication.cpp
+++ b/src/cornellever/backend/replication.cpp
@@ -84,7 +84,7 @@
 }
 
 instance::answer instance::replicate(params in, rpc::connection& conn) {
-    if (m_faults.replication_cut) {
+    if (m_faults.replication_blocked) {
         conn.go_silent = true;
         co_return fail(errc::outcome_unknown, "cut");
     }
@@ -112,12 +112,13 @@
 
 asio::awaitable<void> instance::ship(tcp::endpoint replica, std::uint64_t role_epoch) {
     rpc::kept_channel link{m_executor, replica};
-    // One entry back: a new primary's own first entry is at the end already.
+    // Starts one entry before the end: a newly promoted primary has already
+    // appended the first entry of its term, which no replica holds yet.
     std::uint64_t sent = m_log.last() > 0 ? m_log.last() - 1 : 0;
     auto last_sent = clock::time_point{};
     while (m_role_epoch == role_epoch && m_role == role::primary) {
         const bool idle = m_log.last() == sent && clock::now() - last_sent < heartbeat_interval;
-        if (idle || m_faults.replication_cut || m_faults.frozen) {
+        if (idle || m_faults.replication_blocked || m_faults.frozen) {
             co_await sleep_for(poll_interval);
             continue;
         }
@@ -135,8 +136,9 @@
         last_sent = clock::now();
         auto answer = co_await link.call("replicate", params, ship_timeout);
         if (answer) {
-            // A replica whose log does not match here is asked further back,
-            // until it does; it then gives up what another primary wrote.
+            // While the replica's log does not match at `sent`, retries from an
+            // earlier position. From the matching position on, the replica
+            // then replaces entries that another primary wrote.
             sent = (*answer)["received"].asUInt64();
             if (m_role_epoch == role_epoch && (*answer)["matched"].asBool()) {
                 m_replica_positions[replica] = sent;
@@ -172,8 +174,8 @@
     const auto wait = std::min(std::chrono::milliseconds{in.get("wait_ms", 0).asInt64()}, max_receive_wait);
     const auto until = clock::now() + wait;
     for (;;) {
-        // Only a replica that still keeps the writer's term may confirm: once
-        // it promised a later one, the new primary may be chosen without this
+        // Only a replica that is still in the writer's term may confirm: once it
+        // has adopted a later term, the new primary may be elected without this
         // entry.
         if (m_term > term) {
             co_return fail(errc::fenced, "instance " + m_settings.name + " is in term " + std::to_string(m_term));
@@ -263,8 +265,9 @@
     ++m_role_epoch;
     m_role = role::primary;
     m_quiescing = false;
-    // An empty entry of the new term: a replica that confirms it holds every
-    // earlier one too, so writes of older terms become safe with it.
+    // Appends an empty entry of the new term. A replica that confirms it holds
+    // every earlier entry too, so a majority that confirms it also makes the
+    // writes of older terms durable.
     append({});
     start_shipping();
     co_return describe_log_end();
--- a/src/cornellever/backend/sqlite.hpp
+++ b/src/cornellever/backend/sqlite.hpp
@@ -13,42 +13,45 @@
 
 namespace cornellever::backend {
 
-/// What one statement gave back.
+/// The result of one statement.
 struct statement_result {
     Json::Value columns{Json::arrayValue};
     Json::Value rows{Json::arrayValue};
+    /// The number of rows changed.
     std::int64_t changes{0};
     bool read_only{true};
 };
 
-/// Whether a statement may change data; learnt from SQLite before running it.
+/// Whether a statement may change data, as SQLite reports it before execution.
 enum class access { read, write };
 
 /// One SQLite connection to the instance's database file.
 class sqlite_connection {
 public:
-    /// Opens `file` in WAL mode. Errors: `internal` when SQLite cannot.
+    /// Opens `file` in WAL mode. Errors: `internal` when SQLite cannot open it.
     [[nodiscard]] static result<sqlite_connection> open(const std::filesystem::path& file);
 
     /// Runs one statement with positional `params` (a JSON array).
-    /// Errors: `bad_request` for SQL that does not prepare or holds more than
-    /// one statement (not run); `busy` when another connection holds the
-    /// write lock (not run); `conflict` when a constraint refuses the change
-    /// (not run: SQLite undoes the statement).
+    /// Errors: `bad_request` for SQL that does not prepare or contains more
+    /// than one statement; `busy` when another connection holds the write
+    /// lock; `conflict` when a constraint is violated, in which case SQLite
+    /// rolls the statement back. In all these cases it has no effect.
     [[nodiscard]] result<statement_result> run(std::string_view sql, const Json::Value& params);
 
-    /// Whether `sql` would only read, without running it.
+    /// Prepares `sql` without running it and returns whether it only reads.
+    /// Errors: `bad_request` for SQL that does not prepare.
     [[nodiscard]] result<access> classify(std::string_view sql);
 
-    /// Runs a script of statements without parameters (schema, seed, BEGIN).
+    /// Runs a script of statements without parameters, such as the schema, the
+    /// seed data or BEGIN.
     [[nodiscard]] result<void> exec(std::string_view script);
 
-    /// True while a transaction is open on this connection.
+    /// Whether a transaction is open on this connection.
     [[nodiscard]] bool in_transaction() const noexcept;
 
-    /// From now on statements that would change the connection itself
-    /// (BEGIN, COMMIT, SAVEPOINT, ATTACH, PRAGMA, TEMP tables) are refused as
-    /// `bad_request`, not run; `exec` stays free to use them.
+    /// Makes `run` refuse, as `bad_request`, statements that change the
+    /// connection's state: BEGIN, COMMIT, SAVEPOINT, ATTACH, PRAGMA and TEMP
+    /// objects. `exec` may still use them.
     void refuse_connection_statements();
 
 private:
