--- a/src/cornellever/backend/statements.cpp
+++ b/src/cornellever/backend/statements.cpp
@@ -8,7 +8,7 @@
 
 asio::awaitable<result<instance::connection_context*>> instance::context_of(rpc::connection& conn) {
     if (conn.id < m_faults.silent_below_id) {
-        // Fault "silent connection": this connection stops answering for good.
+        // The silent-connection fault: this connection never answers again.
         conn.go_silent = true;
         co_return fail(errc::outcome_unknown, "silent");
     }
@@ -21,16 +21,17 @@
             co_return fail(errc::busy, "instance " + m_settings.name + " has its " +
                                            std::to_string(m_settings.max_connections) + " connections open");
         }
-        // A new connection costs what the brief says it costs (12 to 30 ms).
+        // Simulates the cost of opening a connection to a database server, which
+        // takes 12 to 30 ms.
         co_await sleep_for(m_settings.connect_delay);
     }
     auto opened = m_data.connect();
     if (!opened) {
         co_return std::unexpected{opened.error()};
     }
-    // A rebuilt database takes a new connection to it. That its caller's
-    // transaction was undone must not get lost with the old one: the next
-    // statement would run outside any transaction.
+    // After a rebuild the caller needs a connection to the new file. The flag
+    // that its transaction was rolled back is carried over: without it the
+    // caller's next statement would run outside any transaction.
     const bool aborted = existing != nullptr && existing->aborted;
     auto created =
         std::make_unique<connection_context>(conn.id, std::move(*opened), m_data.generation(), m_connections);
@@ -41,7 +42,8 @@
 
 result<void> instance::admit_read(params in) const {
     if (m_role == role::primary) {
-        // The session wrote in a later term: this primary has been replaced.
+        // The session has seen a write of a later term, so this primary has
+        // been replaced.
         if (in.get("min_term", 0).asUInt64() > m_term) {
             return fail(errc::fenced, "instance " + m_settings.name + " leads an older term than the session's");
         }
@@ -49,8 +51,8 @@
     }
     const auto position = in.get("min_position", 0).asUInt64();
     const auto term = in.get("min_term", 0).asUInt64();
-    // The position alone is not enough: after a failover a replica that has
-    // not caught up may hold another primary's entry at the same position.
+    // Comparing the position alone is not enough: after a failover, a replica
+    // that has not caught up may hold an entry of the former primary there.
     if (position > 0 && (m_data.applied_position() < position || !m_log.holds(position, term))) {
         return fail(errc::behind, "replica " + m_settings.name + " has applied " +
                                       std::to_string(m_data.applied_position()) + ", the session needs " +
@@ -124,8 +126,8 @@
     }
     ++m_statements;
     const auto sql = in["sql"].asString();
-    // Before the text is looked at: a replica that has not applied the
-    // session's CREATE TABLE would call a good statement bad.
+    // Checked before the statement is prepared: on a replica that has not yet
+    // applied the session's CREATE TABLE, a valid statement fails to prepare.
     auto admitted = caller.in_transaction ? result<void>{} : admit_read(in);
     if (!admitted) {
         co_return log_refusal(admitted.error());
@@ -201,8 +203,8 @@
     }
     auto committed = caller.db.exec("COMMIT");
     if (!committed) {
-        // SQLite leaves the transaction open when COMMIT fails; left so, the
-        // next caller of this pooled connection would continue it.
+        // SQLite leaves the transaction open when COMMIT fails. Without a
+        // rollback the next user of this pooled connection would continue it.
         caller.roll_back();
         co_return fail(errc::not_run,
                        "commit failed and the transaction was rolled back: " + committed.error().message);
