--- a/src/cornellever/standin/table.hpp
+++ b/src/cornellever/standin/table.hpp
@@ -13,43 +13,43 @@
 
 namespace cornellever::standin {
 
-/// A versioned row of the transactional table. Versions start at 1 and rise
-/// by one with each write of the row; 0 means "no such row".
+/// A versioned row of the transactional table. Versions start at 1 and increase
+/// by one with each write; 0 stands for a missing row.
 struct row {
     std::uint64_t version{0};
     Json::Value value;
 };
 
-/// A precondition of a transaction: `key` is at `version` (0: absent).
+/// A precondition of a transaction: the row at `key` is at `version` (0: missing).
 struct row_precondition {
     std::string key;
     std::uint64_t version{0};
 };
 
-/// A write of a transaction.
+/// One row write of a transaction.
 struct row_write {
     std::string key;
     Json::Value value;
 };
 
-/// The platform's transactional table service, in memory: rows with
-/// versions, compare-and-set and small multi-row transactions.
+/// The platform's transactional table in memory: versioned rows with
+/// compare-and-set and small multi-row transactions.
 class table {
 public:
     /// The row at `key`; `not_found` when there is none.
     [[nodiscard]] result<row> get(std::string_view key) const;
 
-    /// Writes `value` when the row is at `expected` (0: must be absent).
-    /// Errors: `conflict`, naming the version the row is at.
+    /// Writes `value` when the row is at version `expected` (0: missing) and
+    /// returns the new version. Errors: `conflict`, naming the actual version.
     [[nodiscard]] result<std::uint64_t> compare_and_set(std::string_view key, std::uint64_t expected,
                                                         const Json::Value& value);
 
-    /// Applies all `writes` when every check holds, else none.
-    /// Errors: `conflict` naming the first check that failed.
+    /// Applies all `writes` when every check holds, otherwise none, and returns
+    /// the new versions. Errors: `conflict`, naming the first check that failed.
     [[nodiscard]] result<std::vector<std::uint64_t>> transact(std::span<const row_precondition> checks,
                                                               std::span<const row_write> writes);
 
-    /// Keys starting with `prefix`, with their versions, in key order.
+    /// Keys that start with `prefix` and their versions, in key order.
     [[nodiscard]] std::vector<std::pair<std::string, std::uint64_t>> list(std::string_view prefix) const;
 
     /// All rows, for snapshots and state dumps.
