--- a/src/cornellever/bench/caller_session.hpp
+++ b/src/cornellever/bench/caller_session.hpp
@@ -15,27 +15,28 @@
 
 namespace cornellever::bench {
 
-/// The database a bench run works on.
+/// The database that a run sends its statements to.
 struct target_database {
     std::string service;
     std::string database;
 };
 
-/// A caller's session as a caller library would keep it: the token of its
-/// latest answer, and a connection to each proxy it has talked to.
+/// A caller's session as a client library would keep it: the session token of
+/// the latest answer and one connection for each proxy in use.
 class caller_session {
 public:
     caller_session(asio::any_io_executor executor, std::vector<tcp::endpoint> proxies, target_database target);
 
-    /// Calls `method` on proxy `index`, adding service, database and the
-    /// session token to `params`, and keeps the token of the answer.
+    /// Calls `method` on proxy `index`, adding service, database and session
+    /// token to `params`, and stores the token of the answer.
     asio::awaitable<result<Json::Value>> call(std::size_t index, std::string_view method, Json::Value params,
                                               std::chrono::milliseconds deadline);
 
-    /// Closes the connection to proxy `index` without a word.
+    /// Closes the connection to proxy `index` without ending open transactions,
+    /// as a crashed caller would.
     void drop_connection(std::size_t index) { m_links[index].reset(); }
 
-    /// How many proxies there are to roam between.
+    /// The number of proxies.
     [[nodiscard]] std::size_t proxies() const noexcept { return m_proxies.size(); }
 
 private:
@@ -46,8 +47,9 @@
     Json::Value m_session_token{Json::objectValue};
 };
 
-/// A statement's params: its text and one bound text per `bound`. Not an
-/// initializer list: g++ 12 cannot compile those inside `co_await` operands.
+/// The request params of a statement: its SQL text and one text parameter per
+/// `bound`. Variadic because g++ 12 cannot compile initializer lists inside
+/// `co_await` operands.
 template <std::convertible_to<std::string>... Texts>
 [[nodiscard]] Json::Value statement(std::string_view sql, const Texts&... bound) {
     Json::Value out;
--- a/src/cornellever/bench/differential.hpp
+++ b/src/cornellever/bench/differential.hpp
@@ -10,31 +10,34 @@
 
 namespace cornellever::bench {
 
-/// The same random session scripts run through cornellever's proxies and
-/// through a naive version: one instance, every statement straight to it.
+/// A differential test: the same random statements are sent through the proxies
+/// and directly to a naive version, which is a single instance without a proxy.
+/// Their answers must be equal.
 struct differential_plan {
     std::vector<tcp::endpoint> proxies;
-    /// The naive version's only instance.
+    /// The single instance of the naive version.
     tcp::endpoint naive;
     target_database target;
     std::size_t sessions{20};
+    /// Statements or transactions per session.
     std::size_t steps{30};
     std::uint64_t seed{1};
 };
 
-/// Where the two disagreed, and how each served.
+/// The differences between the two, and their latencies.
 struct differential_report {
+    /// The number of answers compared.
     std::size_t answers{0};
     std::vector<std::string> differences;
     std::size_t reads{0};
     std::size_t replica_reads{0};
     metrics::latency proxied;
     metrics::latency naive;
-    /// Why the run ended early; empty when it was played to its end.
+    /// Why the run ended early; empty when it was completed.
     std::string failure;
 };
 
-/// Runs the plan, one session after another.
+/// Runs the sessions one after another.
 [[nodiscard]] differential_report run_differential(const differential_plan& plan);
 
 } // namespace cornellever::bench
--- a/src/cornellever/bench/failover_gap.hpp
+++ b/src/cornellever/bench/failover_gap.hpp
@@ -10,36 +10,37 @@
 
 namespace cornellever::bench {
 
-/// Repeated losses of a primary: each round freezes the primary stand-in of
-/// the database, times how long no write is acknowledged, thaws it and waits
-/// until it follows as a replica.
+/// Repeated failures of a primary. Each round freezes the database's primary,
+/// measures how long no write is acknowledged, unfreezes it and waits until it
+/// has returned as a replica.
 struct failover_gap_plan {
     std::vector<tcp::endpoint> proxies;
     target_database target;
     int rounds{5};
-    /// The naive version's only instance; frozen once for `naive_outage` when given.
+    /// The single instance of the naive version, which has no failover; frozen
+    /// once for `naive_outage` when given.
     std::optional<tcp::endpoint> naive;
-    /// How long the naive version's primary stays away: as long as nobody is
-    /// awake to do anything about it, here kept short.
+    /// How long the naive version's instance stays frozen. Without failover an
+    /// outage lasts until an operator acts; the default keeps the run short.
     std::chrono::milliseconds naive_outage{5000};
 };
 
-/// What callers saw over the rounds.
+/// The write outages that callers observed.
 struct failover_gap_report {
     /// From the freeze to the next acknowledged write, per round.
     std::vector<std::chrono::milliseconds> gaps;
     metrics::latency histogram;
-    /// The naive version's gap for its one absence.
+    /// The write outage of the naive version.
     std::optional<std::chrono::milliseconds> naive_gap;
-    /// Why the run ended early; empty when every round was played.
+    /// Why the run ended early; empty when every round was completed.
     std::string failure;
 };
 
-/// Runs the plan; a round without an acknowledged write for `max_gap`
-/// ends it.
+/// Runs all rounds; stops early when no write is acknowledged within `max_gap`
+/// of a freeze.
 [[nodiscard]] failover_gap_report measure_failover_gap(const failover_gap_plan& plan);
 
-/// How long a round waits for a write to be acknowledged again.
+/// How long a round waits for the next acknowledged write.
 inline constexpr auto max_gap = std::chrono::seconds{15};
 
 } // namespace cornellever::bench
--- a/src/cornellever/bench/load.hpp
+++ b/src/cornellever/bench/load.hpp
@@ -11,8 +11,8 @@
 
 namespace cornellever::bench {
 
-/// A closed-loop load: `sessions` callers each sending one statement after
-/// another for `duration`, every call with the method and params given.
+/// A closed-loop load: each of `sessions` callers repeats the same call for
+/// `duration`, sending the next one when the previous one is answered.
 struct load_plan {
     tcp::endpoint target;
     std::string method;
@@ -21,28 +21,30 @@
     std::chrono::milliseconds duration{2000};
 };
 
-/// What a load run measured.
+/// The measurements of a load run.
 struct load_result {
     std::size_t completed{0};
     std::size_t failed{0};
-    /// Failures whose outcome is unknown: the request was sent and its answer cut.
+    /// Failed calls with an unknown outcome: the request was sent, but no answer
+    /// arrived.
     std::size_t unanswered{0};
     std::chrono::nanoseconds elapsed{0};
+    /// Processor time of this process during the run, user and system.
     std::chrono::microseconds cpu{0};
+    /// Bytes sent and received.
     std::uint64_t bytes{0};
     metrics::latency latency;
 
+    /// Completed calls per second.
     [[nodiscard]] double per_second() const;
 };
 
-/// Runs the plan on one thread and returns the figures; `cpu` is this
-/// process's own processor time (user and system) over the run, `bytes`
-/// what crossed the wire both ways.
+/// Runs the load on one thread.
 [[nodiscard]] load_result run_load(const load_plan& plan);
 
-/// Opens `count` connections to `target`, makes one `method` call on each,
-/// then holds them all open for `hold` (to measure a server's memory per
-/// idle connection). Returns how many were open at the end.
+/// Opens `count` connections to `target`, makes one `method` call on each and
+/// keeps them open for `hold`, to measure a server's memory per idle
+/// connection. Returns how many could be opened.
 [[nodiscard]] std::size_t hold_connections(const tcp::endpoint& target, std::string_view method, std::size_t count,
                                            std::chrono::milliseconds hold);
 
--- a/src/cornellever/bench/verify.hpp
+++ b/src/cornellever/bench/verify.hpp
@@ -11,51 +11,55 @@
 
 namespace cornellever::bench {
 
-/// A checked workload: callers write rows under tags of their own, in single
-/// statements, under request ids and in transactions, read them back on
-/// whichever proxy, and in the end every tag is counted in the database.
+/// A workload with verification. Callers write rows under unique tags, by single
+/// statements with and without request ids and by transactions, and read them
+/// back through a random proxy. At the end the rows of every tag are counted in
+/// the database and compared with the outcomes reported to the callers.
 struct verify_plan {
     std::vector<tcp::endpoint> proxies;
     target_database target;
     std::size_t callers{16};
     std::chrono::milliseconds duration{5000};
     std::uint64_t seed{1};
-    /// How long a request with an id is asked again before its caller gives up.
+    /// How long a caller retries a request with a request id.
     std::chrono::milliseconds retry_timeout{15000};
 };
 
-/// What callers were told, and where the database disagrees with it.
+/// The outcomes reported to callers, and where the database disagrees with them.
 struct verify_report {
     std::size_t done{0};
     std::size_t not_run{0};
     std::size_t unknown{0};
+    /// Reads of a caller's own acknowledged writes.
     std::size_t reads{0};
     std::size_t replica_reads{0};
     std::vector<std::string> read_errors;
-    /// Acknowledged, but not exactly once in the database.
+    /// Writes reported as done that are not in the database exactly once.
     std::vector<std::string> not_exactly_once;
-    /// Answered "not run" or rolled back, but in the database.
+    /// Writes reported as not run, or rolled back, that are in the database.
     std::vector<std::string> unexpectedly_applied;
-    /// Neither whole nor absent: a transaction that mixed or tore, or an
-    /// unknown outcome that happened twice.
+    /// Writes of unknown outcome that are in the database neither completely
+    /// nor not at all: a transaction applied in part or interleaved with
+    /// another, or a write applied twice.
     std::vector<std::string> partially_applied;
-    /// A session that did not see its own acknowledged write.
+    /// Reads that did not return the session's own acknowledged write.
     std::vector<std::string> missing_own_writes;
-    /// The longest time between two acknowledged writes of any callers.
+    /// The longest time between two acknowledged writes, over all callers.
     std::chrono::milliseconds longest_gap{0};
     metrics::latency write_latency;
     metrics::latency read_latency;
-    /// Why the final count failed; empty when it was made.
+    /// Why the final count failed; empty when it succeeded.
     std::string check_failure;
 
+    /// Whether the final count succeeded and no write has a violation.
     [[nodiscard]] bool clean() const noexcept {
         return not_exactly_once.empty() && unexpectedly_applied.empty() && partially_applied.empty() &&
                missing_own_writes.empty() && check_failure.empty();
     }
 };
 
-/// Runs the plan on one thread, then counts. Takes at most the duration,
-/// the patience and the time of the count.
+/// Runs the workload on one thread and then the final count. Takes at most the
+/// duration, the retry timeout and the time of the count.
 [[nodiscard]] verify_report run_verify(const verify_plan& plan);
 
 } // namespace cornellever::bench
