--- a/src/cornellever/bench/failover_gap.cpp
+++ b/src/cornellever/bench/failover_gap.cpp
@@ -15,7 +15,7 @@
 constexpr auto create_table = "CREATE TABLE IF NOT EXISTS bench_gap (at INTEGER NOT NULL)";
 constexpr auto insert_row = "INSERT INTO bench_gap (at) VALUES (?)";
 
-/// One round's frozen instance.
+/// The primary that a round freezes: its key in the proxy's dump and its address.
 struct frozen_primary {
     std::string key;
     tcp::endpoint address;
@@ -64,7 +64,8 @@
         co_await await_return_as_replica(primary);
     }
 
-    /// Writes straight to the one instance while it is away.
+    /// Measures the write outage of the naive version: freezes its instance and
+    /// retries a write until the instance answers again.
     asio::awaitable<void> run_naive_round(tcp::endpoint naive) {
         rpc::channel setup{m_executor, naive};
         (void)co_await setup.call("execute", statement(create_table), call_deadline);
@@ -72,9 +73,9 @@
         const auto started = clock::now();
         asio::co_spawn(
             m_executor,
-            [](failover_gap_run& self, tcp::endpoint where) -> asio::awaitable<void> {
+            [](failover_gap_run& self, tcp::endpoint instance_address) -> asio::awaitable<void> {
                 co_await sleep_for(self.m_plan.naive_outage);
-                co_await self.set_frozen(where, false);
+                co_await self.set_frozen(instance_address, false);
             }(*this, naive),
             asio::detached);
         auto params = statement(insert_row);
@@ -114,17 +115,17 @@
         const auto instances_by_key = co_await instances();
         for (const auto& key : instances_by_key.getMemberNames()) {
             const auto& item = instances_by_key[key];
-            tcp::endpoint where;
+            tcp::endpoint instance_address;
             if (key.starts_with(prefix) && item["role"] == "primary" && item["healthy"].asBool() &&
-                parse_endpoint(item["address"].asString(), where)) {
-                co_return frozen_primary{key, where};
+                parse_endpoint(item["address"].asString(), instance_address)) {
+                co_return frozen_primary{key, instance_address};
             }
         }
         co_return frozen_primary{};
     }
 
-    asio::awaitable<void> set_frozen(tcp::endpoint where, bool frozen) {
-        rpc::channel link{m_executor, where};
+    asio::awaitable<void> set_frozen(tcp::endpoint instance_address, bool frozen) {
+        rpc::channel link{m_executor, instance_address};
         Json::Value params;
         params["frozen"] = frozen;
         (void)co_await link.call("fault.set", params, call_deadline);
@@ -140,7 +141,7 @@
             }
             co_await sleep_for(recovery_poll_interval);
         }
-        m_report.failure = former_primary.key + " did not come back as a replica";
+        m_report.failure = former_primary.key + " did not rejoin as a replica";
     }
 
     asio::any_io_executor m_executor;
--- a/src/cornellever/bench/load.cpp
+++ b/src/cornellever/bench/load.cpp
@@ -23,7 +23,8 @@
         } else {
             ++totals.failed;
             totals.unanswered += answer.error().code == errc::outcome_unknown ? 1 : 0;
-            // A caller goes to another proxy when this one is gone or refuses.
+            // A real caller would switch to another proxy when this one has closed
+            // the connection or is unavailable.
             if (!link.usable() || answer.error().code == errc::unavailable) {
                 break;
             }
--- a/src/cornellever/bench/main.cpp
+++ b/src/cornellever/bench/main.cpp
@@ -84,7 +84,7 @@
     const auto proxied_figures = bench::run_load({proxy, "execute", proxied_statement, sessions, duration});
     const auto direct_figures = bench::run_load({direct, "execute", statement, sessions, duration});
     print_figures("through the proxy", proxied_figures);
-    print_figures("straight to backend", direct_figures);
+    print_figures("directly to backend", direct_figures);
     std::printf("ratio proxy/direct: throughput %.2f  p50 %.2f  p99 %.2f\n",
                 proxied_figures.per_second() / std::max(direct_figures.per_second(), 1e-9),
                 proxied_figures.latency.quantile_us(0.5) / std::max(direct_figures.latency.quantile_us(0.5), 1e-9),
@@ -106,8 +106,9 @@
 
 int run_verify_mode(const bench::verify_plan& plan) {
     const auto report = bench::run_verify(plan);
-    std::printf("told: done %zu, not run %zu, unknown %zu\n", report.done, report.not_run, report.unknown);
-    std::printf("own reads %zu, by replicas %.3f\n", report.reads, fraction(report.replica_reads, report.reads));
+    std::printf("outcomes: done %zu, not run %zu, unknown %zu\n", report.done, report.not_run, report.unknown);
+    std::printf("reads of own writes %zu, by replicas %.3f\n", report.reads,
+                fraction(report.replica_reads, report.reads));
     print_findings("reads without an answer", report.read_errors);
     std::printf("longest time without an acknowledged write %lld ms\n",
                 static_cast<long long>(report.longest_gap.count()));
@@ -115,9 +116,9 @@
                 report.write_latency.quantile_us(0.5), report.write_latency.quantile_us(0.99),
                 report.read_latency.quantile_us(0.5), report.read_latency.quantile_us(0.99));
     print_findings("acknowledged, not exactly once", report.not_exactly_once);
-    print_findings("told not run, but ran", report.unexpectedly_applied);
-    print_findings("torn or mixed", report.partially_applied);
-    print_findings("own write not seen", report.missing_own_writes);
+    print_findings("reported not run, but ran", report.unexpectedly_applied);
+    print_findings("incomplete or applied twice", report.partially_applied);
+    print_findings("own write missing", report.missing_own_writes);
     if (!report.check_failure.empty()) {
         std::printf("not checked: %s\n", report.check_failure.c_str());
     }
--- a/src/cornellever/bench/verify.cpp
+++ b/src/cornellever/bench/verify.cpp
@@ -21,9 +21,10 @@
 constexpr auto count_own = "SELECT count(*) FROM bench_ledger WHERE tag = ?";
 constexpr auto count_all = "SELECT tag, count(*) FROM bench_ledger GROUP BY tag";
 
-/// What a caller was finally told about a tag.
+/// The final outcome of a write as the answers reported it.
 enum class reported_outcome { done, not_run, unknown };
 
+/// The reported outcome of a tag's write and how many rows it writes.
 struct tag_outcome {
     reported_outcome reported{reported_outcome::unknown};
     std::size_t rows{1};
@@ -36,14 +37,14 @@
     return ran_not(answer.error().code) ? reported_outcome::not_run : reported_outcome::unknown;
 }
 
-/// One run's shared state; its callers all live on one thread.
+/// The shared state of one run; all its callers run on one thread.
 class workload {
 public:
     workload(asio::io_context& io, const verify_plan& plan) : m_io{io}, m_plan{plan}, m_deadline{clock::now()} {}
 
     asio::awaitable<void> run() {
         if (auto ready = co_await create_ledger(); !ready) {
-            m_report.check_failure = "the ledger table could not be made: " + ready.error().message;
+            m_report.check_failure = "the ledger table could not be created: " + ready.error().message;
             co_return;
         }
         m_deadline = clock::now() + m_plan.duration;
@@ -72,7 +73,7 @@
         co_return result<void>{};
     }
 
-    /// A repeatable statement, asked again until it is answered.
+    /// Retries an idempotent statement until it is answered.
     asio::awaitable<result<Json::Value>> retry_until_answered(Json::Value params) {
         caller_session session{m_io.get_executor(), m_plan.proxies, m_plan.target};
         const auto retry_deadline = clock::now() + check_timeout;
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Counts the time from the last acknowledged write to the end of the run.
+    /// Takes the time from the last acknowledged write to the end of the run
+    /// into account.
     void record_final_gap() {
         const auto tail = std::chrono::duration_cast<std::chrono::milliseconds>(m_deadline - m_last_ack);
         m_report.longest_gap = std::max(m_report.longest_gap, tail);
@@ -150,6 +152,8 @@
             params["request_id"] = tag;
             auto answer = co_await session.call(random() % session.proxies(), "execute", params, call_deadline);
             const auto latest = outcome_of(answer);
+            // After an attempt of unknown outcome, a later "not run" does not prove
+            // that the first attempt had no effect.
             in_doubt = in_doubt || latest == reported_outcome::unknown;
             if (latest == reported_outcome::done || clock::now() - started > m_plan.retry_timeout) {
                 m_report.write_latency.record(clock::now() - started);
