--- a/src/cornellever/bench/caller.hpp
+++ b/src/cornellever/bench/caller_session.hpp
@@ -15,39 +15,41 @@
 
 namespace cornellever::bench {
 
-/// The database a bench run works on.
-struct bench_target {
+/// The database that a run sends its statements to.
+struct target_database {
     std::string service;
     std::string database;
 };
 
-/// A caller's session as a caller library would keep it: the token of its
-/// latest answer, and a connection to each proxy it has talked to.
-class caller {
+/// A caller's session as a client library would keep it: the session token of
+/// the latest answer and one connection for each proxy in use.
+class caller_session {
 public:
-    caller(asio::any_io_executor executor, std::vector<tcp::endpoint> proxies, bench_target target);
+    caller_session(asio::any_io_executor executor, std::vector<tcp::endpoint> proxies, target_database target);
 
-    /// Calls `method` on proxy `index`, adding service, database and the
-    /// session token to `params`, and keeps the token of the answer.
+    /// Calls `method` on proxy `index`, adding service, database and session
+    /// token to `params`, and stores the token of the answer.
     asio::awaitable<result<Json::Value>> call(std::size_t index, std::string_view method, Json::Value params,
                                               std::chrono::milliseconds deadline);
 
-    /// Closes the connection to proxy `index` without a word.
-    void vanish(std::size_t index) { m_links[index].reset(); }
+    /// Closes the connection to proxy `index` without ending open transactions,
+    /// as a crashed caller would.
+    void drop_connection(std::size_t index) { m_links[index].reset(); }
 
-    /// How many proxies there are to roam between.
+    /// The number of proxies.
     [[nodiscard]] std::size_t proxies() const noexcept { return m_proxies.size(); }
 
 private:
     asio::any_io_executor m_executor;
     std::vector<tcp::endpoint> m_proxies;
     std::vector<std::unique_ptr<rpc::channel>> m_links;
-    bench_target m_target;
-    Json::Value m_session{Json::objectValue};
+    target_database m_target;
+    Json::Value m_session_token{Json::objectValue};
 };
 
-/// A statement's params: its text and one bound text per `bound`. Not an
-/// initializer list: g++ 12 cannot compile those inside `co_await` operands.
+/// The request params of a statement: its SQL text and one text parameter per
+/// `bound`. Variadic because g++ 12 cannot compile initializer lists inside
+/// `co_await` operands.
 template <std::convertible_to<std::string>... Texts>
 [[nodiscard]] Json::Value statement(std::string_view sql, const Texts&... bound) {
     Json::Value out;
