--- a/src/cornellever/backend/instance.cpp
+++ b/src/cornellever/backend/instance.cpp
@@ -43,7 +43,7 @@
         const bool between_instances = name == "replicate";
         rpc.on(std::move(name), [this, call, between_instances](params in, rpc::connection& conn) -> answer {
             if (m_faults.frozen || (m_faults.callers_cut && !between_instances)) {
-                conn.go_silent = true;
+                conn.stop_answering = true;
                 return [](std::string who) -> answer {
                     co_return fail(errc::outcome_unknown, who + " is frozen");
                 }(m_settings.name);
--- a/src/cornellever/backend/main.cpp
+++ b/src/cornellever/backend/main.cpp
@@ -57,7 +57,7 @@
               "role=backend name=" + settings.name + " listen=" + to_string(*bound) + " as=" + role.getValue());
     auto signals = on_stop_signal(io, [&] { io.stop(); });
     io.run();
-    io.abandon_pending();
+    io.destroy_suspended_coroutines();
     log_event(event::process_stopped, "role=backend name=" + settings.name);
     return 0;
 }
--- a/src/cornellever/backend/replication.cpp
+++ b/src/cornellever/backend/replication.cpp
@@ -85,7 +85,7 @@
 
 instance::answer instance::replicate(params in, rpc::connection& conn) {
     if (m_faults.cut) {
-        conn.go_silent = true;
+        conn.stop_answering = true;
         co_return fail(errc::outcome_unknown, "cut");
     }
     const auto term = in["term"].asUInt64();
@@ -111,7 +111,7 @@
 }
 
 asio::awaitable<void> instance::ship(tcp::endpoint replica, std::uint64_t reign) {
-    rpc::kept_channel link{m_executor, replica};
+    rpc::reconnecting_channel link{m_executor, replica};
     // One entry back: a new primary's own first entry is at the end already.
     std::uint64_t sent = m_log.last() > 0 ? m_log.last() - 1 : 0;
     auto last_sent = clock::time_point{};
--- a/src/cornellever/backend/statements.cpp
+++ b/src/cornellever/backend/statements.cpp
@@ -9,7 +9,7 @@
 asio::awaitable<result<instance::client*>> instance::attach(rpc::connection& conn) {
     if (conn.id < m_faults.silent_below) {
         // Fault "silent connection": this connection stops answering for good.
-        conn.go_silent = true;
+        conn.stop_answering = true;
         co_return fail(errc::outcome_unknown, "silent");
     }
     auto* known = static_cast<client*>(conn.state.get());
--- a/src/cornellever/bench/verify.cpp
+++ b/src/cornellever/bench/verify.cpp
@@ -33,7 +33,7 @@
     if (answer) {
         return told::done;
     }
-    return ran_not(answer.error().code) ? told::not_run : told::unknown;
+    return guarantees_not_executed(answer.error().code) ? told::not_run : told::unknown;
 }
 
 /// One run's shared state; its callers all live on one thread.
--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -54,7 +54,7 @@
     using time_point = boot_clock::time_point;
 
     control(asio::any_io_executor executor, control_settings settings, Store& store, Orders& orders, bridge& servers,
-            const chart& promotion_steps)
+            const state_chart& promotion_steps)
         : m_executor{executor}
         , m_settings{std::move(settings)}
         , m_store{store}
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -131,7 +131,7 @@
         if (m_uploads >= most_uploads) {
             return fail(errc::busy, "other proxies are being sent the configuration");
         }
-        to.until_written = std::make_shared<scoped_count>(m_uploads);
+        to.release_after_write = std::make_shared<scoped_increment>(m_uploads);
         if (m_packed_config.version != m_config.version) {
             m_packed_config = pack(m_config);
         }
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -56,7 +56,7 @@
 public:
     /// `holder` names this proxy to the platform; `claimant` also tells one
     /// start of its process from another.
-    promotion(Store& store, Servers& servers, Orders& orders, const chart& steps, std::string holder,
+    promotion(Store& store, Servers& servers, Orders& orders, const state_chart& steps, std::string holder,
               std::string claimant)
         : m_store{store}
         , m_servers{servers}
@@ -221,7 +221,7 @@
     Store& m_store;
     Servers& m_servers;
     Orders& m_orders;
-    const chart& m_steps;
+    const state_chart& m_steps;
     std::string m_holder;
     std::string m_claimant;
     std::uint64_t m_claims{0};
--- a/src/cornellever/cluster/snapshot.cpp
+++ b/src/cornellever/cluster/snapshot.cpp
@@ -35,7 +35,7 @@
     out.statement_timeout = ms_field(from, "timeout_ms");
     out.target_latency = ms_field(from, "target_ms");
     out.max_staleness = ms_field(from, "staleness_ms");
-    out.priority = static_cast<int>(rpc::whole_field(from, "priority", routing::lowest_priority).value_or(0));
+    out.priority = static_cast<int>(rpc::optional_uint_field(from, "priority", routing::lowest_priority).value_or(0));
     // Without word of it a database is not open to everybody.
     out.keyless = from["keyless"].isBool() && from["keyless"].asBool();
     return out;
@@ -54,7 +54,7 @@
 
 accounts::account account_from(const Json::Value& from) {
     accounts::account out{.name = text_field(from, "name")};
-    out.priority = static_cast<int>(rpc::whole_field(from, "priority", routing::lowest_priority).value_or(0));
+    out.priority = static_cast<int>(rpc::optional_uint_field(from, "priority", routing::lowest_priority).value_or(0));
     if (from["per_second"].isNumeric() && from["burst"].isNumeric()) {
         out.limit = accounts::rate_limit{from["per_second"].asDouble(), from["burst"].asDouble()};
     }
@@ -153,7 +153,8 @@
         routing::service_limits limits;
         limits.service = text_field(item, "service");
         limits.max_connections = uint_field(item, "max_connections");
-        limits.synchronous_replicas = static_cast<int>(rpc::whole_field(item, "synchronous_replicas", 1).value_or(0));
+        limits.synchronous_replicas =
+            static_cast<int>(rpc::optional_uint_field(item, "synchronous_replicas", 1).value_or(0));
         out.services.insert_or_assign(limits.service, std::move(limits));
     }
     auto listed = accounts_from(from["accounts"], from["keys"]);
--- a/src/cornellever/core/chart.cpp
+++ b/src/cornellever/core/chart.cpp
@@ -11,11 +11,11 @@
 
 } // namespace
 
-result<chart> chart::parse(std::string_view text, std::string_view name) {
+result<state_chart> state_chart::parse(std::string_view text, std::string_view name) {
     ini::document document;
     ini::read_text(text, name, document);
     auto findings = document.findings;
-    chart out;
+    state_chart out;
     for (const auto& header : document.sections) {
         if (!header.section.starts_with(section_prefix)) {
             findings.push_back({header.where, "[" + header.section + "] is not [state NAME]"});
@@ -51,12 +51,12 @@
     return out;
 }
 
-std::string_view chart::action(std::string_view state) const {
+std::string_view state_chart::action(std::string_view state) const {
     const auto found = m_states.find(state);
     return found == m_states.end() ? std::string_view{} : found->second.action;
 }
 
-result<std::string> chart::next(std::string_view state, std::string_view event) const {
+result<std::string> state_chart::next(std::string_view state, std::string_view event) const {
     const auto found = m_states.find(state);
     if (found != m_states.end()) {
         if (const auto to = found->second.on.find(event); to != found->second.on.end()) {
--- a/src/cornellever/core/chart.hpp
+++ b/src/cornellever/core/chart.hpp
@@ -11,12 +11,12 @@
 /// A state chart read from an INI file: per state the action it runs and,
 /// per event that action may end with, the next state. A state without an
 /// action is final.
-class chart {
+class state_chart {
 public:
     /// Reads a chart whose first section is the start state. Errors:
     /// `bad_request` listing every finding with its line: a section that is
     /// not `[state NAME]`, a state without `do`.
-    [[nodiscard]] static result<chart> parse(std::string_view text, std::string_view name);
+    [[nodiscard]] static result<state_chart> parse(std::string_view text, std::string_view name);
 
     /// The state to begin in.
     [[nodiscard]] const std::string& start() const noexcept { return m_start; }
--- a/src/cornellever/core/daemon.cpp
+++ b/src/cornellever/core/daemon.cpp
@@ -27,8 +27,8 @@
     return true;
 }
 
-chart load_chart(std::string_view text, std::string_view name) {
-    auto parsed = chart::parse(text, name);
+state_chart load_state_chart(std::string_view text, std::string_view name) {
+    auto parsed = state_chart::parse(text, name);
     if (!parsed) {
         std::fprintf(stderr, "chart %s: %s\n", std::string{name}.c_str(), parsed.error().message.c_str());
         std::exit(1);
--- a/src/cornellever/core/daemon.hpp
+++ b/src/cornellever/core/daemon.hpp
@@ -20,7 +20,7 @@
     /// and before the objects those coroutines refer to are destroyed: left
     /// to the loop's own destructor, they would run their clean-up on objects
     /// that are gone already.
-    void abandon_pending() { shutdown(); }
+    void destroy_suspended_coroutines() { shutdown(); }
 };
 
 /// Calls `on_stop` on the io_context's thread when SIGTERM or SIGINT arrives.
@@ -34,7 +34,7 @@
 /// The state chart in `text`, which is compiled in under `name`: a process
 /// can't run without it, and ends here if it does not parse. A test parses
 /// every chart.
-[[nodiscard]] chart load_chart(std::string_view text, std::string_view name);
+[[nodiscard]] state_chart load_state_chart(std::string_view text, std::string_view name);
 
 /// Reads `IP:PORT` texts from a command line into `out`; false with a
 /// message on standard error at the first that is none.
--- a/src/cornellever/core/error.cpp
+++ b/src/cornellever/core/error.cpp
@@ -40,7 +40,7 @@
     return errc::internal;
 }
 
-bool ran_not(errc code) noexcept {
+bool guarantees_not_executed(errc code) noexcept {
     return code != errc::outcome_unknown && code != errc::internal;
 }
 
--- a/src/cornellever/core/error.hpp
+++ b/src/cornellever/core/error.hpp
@@ -8,7 +8,7 @@
 namespace cornellever {
 
 /// What went wrong, in terms a caller can act on. Each code states whether
-/// the request may have taken effect: see `ran_not`.
+/// the request may have taken effect: see `guarantees_not_executed`.
 enum class errc {
     bad_request,
     not_found,
@@ -40,8 +40,8 @@
 }
 
 /// As `fail`, telling the caller when to come back.
-[[nodiscard]] inline std::unexpected<error> fail_for_now(errc code, std::string message,
-                                                         std::chrono::milliseconds retry_after) {
+[[nodiscard]] inline std::unexpected<error> fail_with_retry_after(errc code, std::string message,
+                                                                  std::chrono::milliseconds retry_after) {
     return std::unexpected<error>{error{code, std::move(message), retry_after}};
 }
 
@@ -53,6 +53,6 @@
 
 /// True when an error with this code guarantees the request never took effect.
 /// `outcome_unknown` and `internal` do not; every refusal before execution does.
-[[nodiscard]] bool ran_not(errc code) noexcept;
+[[nodiscard]] bool guarantees_not_executed(errc code) noexcept;
 
 } // namespace cornellever
--- a/src/cornellever/core/event.cpp
+++ b/src/cornellever/core/event.cpp
@@ -42,7 +42,7 @@
     event_info{event::replica_fallback, "route.replica_fallback", severity::debug},
     event_info{event::connections_suspect, "pool.connections_suspect", severity::warning},
     event_info{event::write_unconfirmed, "write.unconfirmed", severity::warning},
-    event_info{event::once_repeated, "request.repeated", severity::info},
+    event_info{event::request_repeated, "request.repeated", severity::info},
     event_info{event::connect_failed, "pool.connect_failed", severity::warning},
     event_info{event::session_refused, "session.refused", severity::info},
     event_info{event::request_refused, "request.refused", severity::info},
--- a/src/cornellever/core/event.hpp
+++ b/src/cornellever/core/event.hpp
@@ -46,7 +46,7 @@
     replica_fallback = 1304,
     connections_suspect = 1305,
     write_unconfirmed = 1306,
-    once_repeated = 1307,
+    request_repeated = 1307,
     connect_failed = 1308,
     session_refused = 1309,
     request_refused = 1310,
--- a/src/cornellever/core/log.cpp
+++ b/src/cornellever/core/log.cpp
@@ -159,13 +159,13 @@
     return writer().dropped();
 }
 
-bool logs(severity level) noexcept {
+bool log_enabled(severity level) noexcept {
     return level >= g_minimum.load();
 }
 
 void log_event(event id, std::string_view fields) {
     const auto& info = describe(id);
-    if (!logs(info.level)) {
+    if (!log_enabled(info.level)) {
         return;
     }
     auto line = "CL" + std::to_string(static_cast<unsigned>(id)) + " " + std::string{info.name} +
--- a/src/cornellever/core/log.hpp
+++ b/src/cornellever/core/log.hpp
@@ -30,7 +30,7 @@
 [[nodiscard]] std::uint64_t log_lines_dropped();
 
 /// Whether events of this severity are logged: spares making up a line.
-[[nodiscard]] bool logs(severity level) noexcept;
+[[nodiscard]] bool log_enabled(severity level) noexcept;
 
 /// Logs one event as `CL<number> <name> <fields>`; `fields` are `key=value` pairs.
 void log_event(event id, std::string_view fields = {});
--- a/src/cornellever/core/quorum.hpp
+++ b/src/cornellever/core/quorum.hpp
@@ -11,7 +11,7 @@
 }
 
 /// How many replicas must hold a write, beside its primary, for a majority.
-[[nodiscard]] constexpr std::size_t confirmations_of(std::size_t members) noexcept {
+[[nodiscard]] constexpr std::size_t required_replica_acks(std::size_t members) noexcept {
     return majority_of(members) - 1;
 }
 
--- a/src/cornellever/core/scoped_count.hpp
+++ b/src/cornellever/core/scoped_count.hpp
@@ -5,12 +5,12 @@
 namespace cornellever {
 
 /// Holds a counter up by one for its own lifetime.
-class scoped_count {
+class scoped_increment {
 public:
-    explicit scoped_count(std::size_t& counter) : m_counter{counter} { ++m_counter; }
-    ~scoped_count() { --m_counter; }
-    scoped_count(const scoped_count&) = delete;
-    scoped_count& operator=(const scoped_count&) = delete;
+    explicit scoped_increment(std::size_t& counter) : m_counter{counter} { ++m_counter; }
+    ~scoped_increment() { --m_counter; }
+    scoped_increment(const scoped_increment&) = delete;
+    scoped_increment& operator=(const scoped_increment&) = delete;
 
 private:
     std::size_t& m_counter;
--- a/src/cornellever/core/words.hpp
+++ b/src/cornellever/core/words.hpp
@@ -8,7 +8,7 @@
 namespace cornellever {
 
 /// Cuts the first word off `rest`, with the blank behind it.
-[[nodiscard]] inline std::string_view take_word(std::string_view& rest) {
+[[nodiscard]] inline std::string_view next_word(std::string_view& rest) {
     const auto blank = rest.find(' ');
     const auto word = rest.substr(0, blank);
     rest = blank == std::string_view::npos ? std::string_view{} : rest.substr(blank + 1);
@@ -16,7 +16,7 @@
 }
 
 /// The whole number that all of `text` writes; nothing for anything else.
-[[nodiscard]] inline std::optional<std::uint64_t> whole_number(std::string_view text) {
+[[nodiscard]] inline std::optional<std::uint64_t> parse_unsigned(std::string_view text) {
     std::uint64_t out = 0;
     const auto* const end = text.data() + text.size();
     const auto got = std::from_chars(text.data(), end, out);
--- a/src/cornellever/limits/grant_message.cpp
+++ b/src/cornellever/limits/grant_message.cpp
@@ -22,8 +22,8 @@
 }
 
 std::optional<grant_question> decode_question(std::string_view bytes) {
-    const bool known = take_word(bytes) == question_word;
-    const auto nonce = whole_number(take_word(bytes));
+    const bool known = next_word(bytes) == question_word;
+    const auto nonce = parse_unsigned(next_word(bytes));
     if (!known || !nonce || bytes.empty() || bytes.find(' ') != std::string_view::npos) {
         return std::nullopt;
     }
@@ -32,10 +32,10 @@
 
 std::optional<grant_answer> decode_answer(std::string_view bytes) {
     constexpr std::uint64_t longest_wait_ms = 3'600'000;
-    const bool known = take_word(bytes) == answer_word;
-    const auto nonce = whole_number(take_word(bytes));
-    const auto outcome = whole_number(take_word(bytes));
-    const auto wait = whole_number(bytes);
+    const bool known = next_word(bytes) == answer_word;
+    const auto nonce = parse_unsigned(next_word(bytes));
+    const auto outcome = parse_unsigned(next_word(bytes));
+    const auto wait = parse_unsigned(bytes);
     if (!known || !nonce || !outcome || !wait || *outcome > static_cast<std::uint64_t>(grant_outcome::not_mine) ||
         *wait > longest_wait_ms) {
         return std::nullopt;
--- a/src/cornellever/proxy/backend_links.cpp
+++ b/src/cornellever/proxy/backend_links.cpp
@@ -89,8 +89,8 @@
         return now != nullptr && now->term >= min_term ? now : nullptr;
     };
     const auto refusal = [&] {
-        return fail_for_now(errc::unavailable, "no primary answers for " + database_key(service, database),
-                            primary_retry_after);
+        return fail_with_retry_after(errc::unavailable, "no primary answers for " + database_key(service, database),
+                                     primary_retry_after);
     };
     if (const auto* now = leader(); now != nullptr) {
         co_return *now;
@@ -98,7 +98,7 @@
     if (m_primary_waiters >= m_limits.max_primary_waiters) {
         co_return refusal();
     }
-    scoped_count waiting{m_primary_waiters};
+    scoped_increment waiting{m_primary_waiters};
     while (clock::now() < until) {
         co_await sleep_for(primary_poll);
         if (const auto* now = leader(); now != nullptr) {
@@ -132,7 +132,7 @@
         co_return acquired;
     }
     acquired->release();
-    if (ran_not(begun.error().code)) {
+    if (guarantees_not_executed(begun.error().code)) {
         co_return std::unexpected{begun.error()};
     }
     co_return fail(errc::unavailable, begun.error().message);
@@ -185,7 +185,7 @@
             replicas.push_back(confirming_replica{member->key, member->address});
         }
     }
-    co_return co_await m_confirmer.confirm(replicas, mark, confirmations_of(replicas.size() + 1), wait);
+    co_return co_await m_confirmer.confirm(replicas, mark, required_replica_acks(replicas.size() + 1), wait);
 }
 
 Json::Value backend_links::describe() const {
--- a/src/cornellever/proxy/config_follower.hpp
+++ b/src/cornellever/proxy/config_follower.hpp
@@ -42,7 +42,7 @@
     void note_failure(const error& failure);
 
     asio::any_io_executor m_executor;
-    rpc::kept_channel m_platform;
+    rpc::reconnecting_channel m_platform;
     std::vector<tcp::endpoint> m_peers;
     follow_limits m_limits;
     std::function<void(config::cluster)> m_on_newer;
--- a/src/cornellever/proxy/control.cpp
+++ b/src/cornellever/proxy/control.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 control::control(asio::any_io_executor own, asio::any_io_executor traffic, router& traffic_router,
-                 const settings& own_settings, const chart& failover_steps, control_limits limits)
+                 const settings& own_settings, const state_chart& failover_steps, control_limits limits)
     : m_own{std::move(own)}
     , m_traffic{std::move(traffic)}
     , m_router{traffic_router}
@@ -73,7 +73,7 @@
 }
 
 asio::awaitable<void> control::follow_machines() {
-    rpc::kept_channel link{m_own, m_platform};
+    rpc::reconnecting_channel link{m_own, m_platform};
     for (;;) {
         auto list = co_await link.call("vms.list", Json::Value{Json::objectValue}, m_limits.call_deadline);
         if (list) {
@@ -104,7 +104,7 @@
 }
 
 asio::awaitable<void> control::probe(std::string key, tcp::endpoint address, std::uint64_t generation) {
-    rpc::kept_channel link{m_own, address};
+    rpc::reconnecting_channel link{m_own, address};
     bool was_up = false;
     for (;;) {
         const auto found = m_probes.find(key);
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -34,7 +34,7 @@
 class control {
 public:
     control(asio::any_io_executor own, asio::any_io_executor traffic, router& traffic_router,
-            const settings& own_settings, const chart& failover_steps, control_limits limits = {});
+            const settings& own_settings, const state_chart& failover_steps, control_limits limits = {});
 
     /// Starts every loop.
     void start();
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -101,7 +101,7 @@
     using clock = std::chrono::steady_clock;
 
     /// `holder` names this proxy; `unique` makes its claims recognisable.
-    failover(Store& store, Group& group, const chart& steps, std::string holder, std::string unique,
+    failover(Store& store, Group& group, const state_chart& steps, std::string holder, std::string unique,
              std::chrono::milliseconds claim_lease = default_claim_lease)
         : m_store{store}
         , m_group{group}
@@ -272,7 +272,7 @@
 
     Store& m_store;
     Group& m_group;
-    const chart& m_steps;
+    const state_chart& m_steps;
     std::string m_holder;
     std::string m_unique;
     std::chrono::milliseconds m_claim_lease;
--- a/src/cornellever/proxy/main.cpp
+++ b/src/cornellever/proxy/main.cpp
@@ -33,8 +33,8 @@
 }
 
 int run_proxy(const proxy::settings& settings) {
-    const auto failover_steps = load_chart(proxy::charts::failover, "failover.ini");
-    const auto drain_steps = load_chart(proxy::charts::drain, "drain.ini");
+    const auto failover_steps = load_state_chart(proxy::charts::failover, "failover.ini");
+    const auto drain_steps = load_state_chart(proxy::charts::drain, "drain.ini");
     event_loop io;
     event_loop control_io;
     proxy::router traffic{io.get_executor(), settings.name, settings.zone};
@@ -66,8 +66,8 @@
     io.run();
     control_io.stop();
     control_thread.join();
-    control_io.abandon_pending();
-    io.abandon_pending();
+    control_io.destroy_suspended_coroutines();
+    io.destroy_suspended_coroutines();
     return 0;
 }
 
--- a/src/cornellever/proxy/planned_stop.hpp
+++ b/src/cornellever/proxy/planned_stop.hpp
@@ -27,7 +27,7 @@
 public:
     using clock = std::chrono::steady_clock;
 
-    planned_stop(rpc::server& server, router& traffic, const chart& steps, stop_limits limits = {})
+    planned_stop(rpc::server& server, router& traffic, const state_chart& steps, stop_limits limits = {})
         : m_server{server}
         , m_router{traffic}
         , m_steps{steps}
@@ -43,7 +43,7 @@
 
     rpc::server& m_server;
     router& m_router;
-    const chart& m_steps;
+    const state_chart& m_steps;
     stop_limits m_limits;
 };
 
--- a/src/cornellever/proxy/pool.cpp
+++ b/src/cornellever/proxy/pool.cpp
@@ -31,10 +31,10 @@
     if (m_waiters.size() >= m_max_waiters) {
         log_event(event::pool_exhausted,
                   "instance=" + to_string(m_peer) + " waiters=" + std::to_string(m_waiters.size()));
-        co_return fail_for_now(errc::busy,
-                               "all " + std::to_string(m_budget) + " connections to " + to_string(m_peer) +
-                                   " are in use and the queue is full",
-                               queue_retry_after);
+        co_return fail_with_retry_after(errc::busy,
+                                        "all " + std::to_string(m_budget) + " connections to " + to_string(m_peer) +
+                                            " are in use and the queue is full",
+                                        queue_retry_after);
     }
     waiter me{asio::steady_timer{m_executor, wait}, std::nullopt};
     m_waiters.push_back(&me);
--- a/src/cornellever/proxy/primary_keeper.cpp
+++ b/src/cornellever/proxy/primary_keeper.cpp
@@ -21,7 +21,7 @@
 
 primary_keeper::primary_keeper(const asio::any_io_executor& executor, const topology& known,
                                const tcp::endpoint& platform, std::vector<tcp::endpoint> peers, std::string name,
-                               const chart& failover_steps, keeper_limits limits,
+                               const state_chart& failover_steps, keeper_limits limits,
                                std::function<void(const heartbeat&)> on_promoted)
     : m_executor{executor}
     , m_known{known}
--- a/src/cornellever/proxy/primary_keeper.hpp
+++ b/src/cornellever/proxy/primary_keeper.hpp
@@ -38,7 +38,7 @@
     /// Reads `known`; `on_promoted` is called with a heartbeat of each new
     /// primary, before its own next one arrives. `peers` are other proxies.
     primary_keeper(const asio::any_io_executor& executor, const topology& known, const tcp::endpoint& platform,
-                   std::vector<tcp::endpoint> peers, std::string name, const chart& failover_steps,
+                   std::vector<tcp::endpoint> peers, std::string name, const state_chart& failover_steps,
                    keeper_limits limits, std::function<void(const heartbeat&)> on_promoted);
 
     /// Judges the databases of `config` for ever; `config` may change between
--- a/src/cornellever/proxy/router.cpp
+++ b/src/cornellever/proxy/router.cpp
@@ -106,8 +106,8 @@
         co_return std::unexpected{request.error()};
     }
     if (m_draining) {
-        co_return fail_for_now(errc::unavailable, "proxy " + m_name + " is stopping: begin on another",
-                               draining_retry_after);
+        co_return fail_with_retry_after(errc::unavailable, "proxy " + m_name + " is stopping: begin on another",
+                                        draining_retry_after);
     }
     const auto service = admit(request->service, request->database, request->kind, request->request_id);
     if (!service) {
--- a/src/cornellever/proxy/transaction_table.cpp
+++ b/src/cornellever/proxy/transaction_table.cpp
@@ -13,7 +13,7 @@
 /// Whether only the record of request ids can tell what became of a commit:
 /// its outcome is unknown, or its id was found taken.
 bool needs_record(const error& failure) noexcept {
-    return !ran_not(failure.code) || failure.code == errc::conflict;
+    return !guarantees_not_executed(failure.code) || failure.code == errc::conflict;
 }
 
 std::unexpected<error> not_open(const std::string& id) {
--- a/src/cornellever/proxy/write_path.cpp
+++ b/src/cornellever/proxy/write_path.cpp
@@ -21,7 +21,7 @@
 /// The error of a step before COMMIT was sent. Closing the connection makes
 /// the backend roll back, so even a step without an answer has not run.
 error before_commit(const error& failure) {
-    if (ran_not(failure.code)) {
+    if (guarantees_not_executed(failure.code)) {
         return failure;
     }
     return error{errc::unavailable, "rolled back before commit: " + failure.message, {}};
@@ -115,7 +115,7 @@
         if (out) {
             co_return out;
         }
-        const bool unknown = !ran_not(out.error().code);
+        const bool unknown = !guarantees_not_executed(out.error().code);
         in_doubt = in_doubt || unknown;
         const bool again = unknown || worth_retrying(out.error());
         if (again && clock::now() + retry_pause < until) {
@@ -127,11 +127,11 @@
         // proves that nothing ran; being unable to look does not.
         const bool learnt = !again && target.has_value();
         if (in_doubt && !learnt) {
-            co_return fail_for_now(errc::outcome_unknown,
-                                   "request " + request.request_id +
-                                       " may have taken effect: ask again with the same id (" + out.error().message +
-                                       ")",
-                                   doubt_retry_after);
+            co_return fail_with_retry_after(errc::outcome_unknown,
+                                            "request " + request.request_id +
+                                                " may have taken effect: ask again with the same id (" +
+                                                out.error().message + ")",
+                                            doubt_retry_after);
         }
         co_return out;
     }
@@ -197,7 +197,7 @@
         // stands before it and may be kept though the end was dropped.
         co_return fail(errc::outcome_unknown, safe.error().message);
     }
-    log_event(event::once_repeated, "instance=" + primary.key);
+    log_event(event::request_repeated, "instance=" + primary.key);
     auto out = statement_answer(found.answer, token, primary);
     out["repeated"] = true;
     co_return out;
@@ -238,9 +238,9 @@
             co_return out;
         }
         if (clock::now() + retry_pause >= until) {
-            co_return fail_for_now(errc::outcome_unknown,
-                                   "request " + request_id + " may have taken effect: ask again with the same id",
-                                   doubt_retry_after);
+            co_return fail_with_retry_after(
+                errc::outcome_unknown, "request " + request_id + " may have taken effect: ask again with the same id",
+                doubt_retry_after);
         }
         co_await sleep_for(retry_pause);
     }
--- a/src/cornellever/rpc/channel.cpp
+++ b/src/cornellever/rpc/channel.cpp
@@ -86,7 +86,7 @@
     http::response_parser<http::string_body> parser;
     parser.body_limit(max_answer_bytes);
     if (!ec && piece_limit) {
-        m_bytes_received += co_await read_paced(m_stream, m_buffer, parser, *piece_limit, ec);
+        m_bytes_received += co_await read_with_idle_timeout(m_stream, m_buffer, parser, *piece_limit, ec);
     } else if (!ec) {
         m_bytes_received +=
             co_await http::async_read(m_stream, m_buffer, parser, asio::redirect_error(asio::use_awaitable, ec));
@@ -100,7 +100,7 @@
     }
     m_stream.expires_never();
     const auto answer = parse_json(parser.get().body());
-    if (!answers(answer, id)) {
+    if (!is_response_to(answer, id)) {
         // An answer to another request (late, or out of order) shows as a
         // foreign id. Reading on would pair every later answer with the wrong
         // request, so the connection ends here.
--- a/src/cornellever/rpc/channel.hpp
+++ b/src/cornellever/rpc/channel.hpp
@@ -27,7 +27,7 @@
     /// back in time, after which the channel is closed; otherwise the error
     /// the peer answered with.
     /// With a `piece_limit` the deadline is that of the answer's beginning, and a
-    /// long answer may take longer, as `read_paced` says.
+    /// long answer may take longer, as `read_with_idle_timeout` says.
     asio::awaitable<result<Json::Value>> call(std::string_view method, const Json::Value& params,
                                               std::chrono::milliseconds deadline,
                                               std::optional<std::chrono::milliseconds> piece_limit = {});
--- a/src/cornellever/rpc/envelope.cpp
+++ b/src/cornellever/rpc/envelope.cpp
@@ -17,7 +17,7 @@
     out["code"] = failure.code == errc::bad_request ? invalid_request : application_error;
     out["message"] = failure.message;
     out["data"]["kind"] = std::string{to_string(failure.code)};
-    out["data"]["ran"] = ran_not(failure.code) ? "no" : "unknown";
+    out["data"]["ran"] = guarantees_not_executed(failure.code) ? "no" : "unknown";
     if (failure.retry_after.count() > 0) {
         out["data"]["retry_after_ms"] = static_cast<Json::Int64>(failure.retry_after.count());
     }
@@ -102,7 +102,7 @@
     return to_text(out);
 }
 
-bool answers(const result<Json::Value>& answer, std::uint64_t id) {
+bool is_response_to(const result<Json::Value>& answer, std::uint64_t id) {
     return answer && answer->isObject() && (*answer)["id"].isUInt64() && (*answer)["id"].asUInt64() == id;
 }
 
--- a/src/cornellever/rpc/envelope.hpp
+++ b/src/cornellever/rpc/envelope.hpp
@@ -31,7 +31,7 @@
 
 /// Whether `answer`, a parsed body, answers the request `id`: a late or
 /// misdirected answer carries another id, a cut one does not parse.
-[[nodiscard]] bool answers(const result<Json::Value>& answer, std::uint64_t id);
+[[nodiscard]] bool is_response_to(const result<Json::Value>& answer, std::uint64_t id);
 
 /// The result inside an answer, or the error it carries.
 [[nodiscard]] result<Json::Value> decode_response(const Json::Value& answer);
--- a/src/cornellever/rpc/fields.hpp
+++ b/src/cornellever/rpc/fields.hpp
@@ -16,17 +16,17 @@
 /// The whole number in `object[name]`, from 0 to `most`; nothing when it is no
 /// object, or the field anything else.
 [[nodiscard]] inline std::optional<std::uint64_t>
-whole_field(const Json::Value& object, const char* name,
-            std::uint64_t most = std::numeric_limits<std::uint64_t>::max()) {
+optional_uint_field(const Json::Value& object, const char* name,
+                    std::uint64_t most = std::numeric_limits<std::uint64_t>::max()) {
     if (!object.isObject() || !object[name].isUInt64() || object[name].asUInt64() > most) {
         return std::nullopt;
     }
     return object[name].asUInt64();
 }
 
-/// As `whole_field`; 0 when there is none.
+/// As `optional_uint_field`; 0 when there is none.
 [[nodiscard]] inline std::uint64_t uint_field(const Json::Value& object, const char* name) {
-    return whole_field(object, name).value_or(0);
+    return optional_uint_field(object, name).value_or(0);
 }
 
 /// The milliseconds in `object[name]`, fractions cut off and at most a day;
--- a/src/cornellever/rpc/fwd.hpp
+++ b/src/cornellever/rpc/fwd.hpp
@@ -6,6 +6,6 @@
 struct connection_state;
 class server;
 class channel;
-class kept_channel;
+class reconnecting_channel;
 
 } // namespace cornellever::rpc
--- a/src/cornellever/rpc/kept_channel.hpp
+++ b/src/cornellever/rpc/kept_channel.hpp
@@ -10,9 +10,9 @@
 
 /// A connection for calls made again and again: one that is left in doubt by
 /// a failed call is replaced, so that the next call starts on a fresh one.
-class kept_channel {
+class reconnecting_channel {
 public:
-    kept_channel(asio::any_io_executor executor, tcp::endpoint peer)
+    reconnecting_channel(asio::any_io_executor executor, tcp::endpoint peer)
         : m_executor{std::move(executor)}
         , m_peer{std::move(peer)} {}
 
--- a/src/cornellever/rpc/paced_read.hpp
+++ b/src/cornellever/rpc/paced_read.hpp
@@ -16,17 +16,17 @@
 inline constexpr std::uint64_t max_answer_bytes = std::uint64_t{16} * 1024 * 1024;
 
 /// However slowly its pieces come, a message is given up after so long.
-inline constexpr std::chrono::seconds longest_transfer{15};
+inline constexpr std::chrono::seconds max_transfer_time{15};
 
 /// Reads an HTTP message of any length: its first piece by the time limit that
 /// `stream` has, each further one within `piece_limit` of the one before. A limit
 /// for the whole of a long message would end each transfer over a busy link just
 /// as it ends that from a silent peer, and begin it anew. Returns the bytes read.
 template <typename Parser>
-asio::awaitable<std::size_t> read_paced(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer,
-                                        Parser& parser, std::chrono::milliseconds piece_limit,
-                                        boost::system::error_code& ec) {
-    const auto until = boot_clock::now() + longest_transfer;
+asio::awaitable<std::size_t> read_with_idle_timeout(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer,
+                                                    Parser& parser, std::chrono::milliseconds piece_limit,
+                                                    boost::system::error_code& ec) {
+    const auto until = boot_clock::now() + max_transfer_time;
     std::size_t out = 0;
     parser.eager(true);
     while (!ec && !parser.is_done()) {
--- a/src/cornellever/rpc/server.cpp
+++ b/src/cornellever/rpc/server.cpp
@@ -69,7 +69,7 @@
 }
 
 asio::awaitable<void> server::serve(tcp::socket socket) {
-    scoped_count open{m_open};
+    scoped_increment open{m_open};
     connection conn;
     conn.id = m_next_connection++;
     boost::system::error_code ec;
@@ -84,10 +84,10 @@
             co_return;
         }
         // Held until the answer is written: a planned stop waits for it.
-        scoped_count busy{m_in_flight};
+        scoped_increment busy{m_in_flight};
         auto request = parser.release();
         auto body = co_await dispatch(request.body(), conn);
-        if (conn.go_silent) {
+        if (conn.stop_answering) {
             // Hold the connection open and unread until the peer gives up.
             asio::steady_timer forever{m_executor, std::chrono::hours{24}};
             co_await forever.async_wait(asio::redirect_error(asio::use_awaitable, ec));
@@ -102,13 +102,13 @@
         response.keep_alive(stays);
         response.body() = std::move(body);
         response.prepare_payload();
-        if (conn.until_written) {
+        if (conn.release_after_write) {
             // A peer that reads no more must not hold it for ever.
-            stream.expires_after(longest_transfer);
+            stream.expires_after(max_transfer_time);
         }
         co_await http::async_write(stream, response, asio::redirect_error(asio::use_awaitable, ec));
         stream.expires_never();
-        conn.until_written.reset();
+        conn.release_after_write.reset();
         if (ec || !stays) {
             co_return;
         }
--- a/src/cornellever/rpc/server.hpp
+++ b/src/cornellever/rpc/server.hpp
@@ -27,12 +27,12 @@
     std::unique_ptr<connection_state> state;
     /// Set by a handler to stop answering on this connection for good while
     /// keeping it open (the stand-ins' "silent connection" fault).
-    bool go_silent{false};
+    bool stop_answering{false};
     /// Set by a handler to close the connection without sending the answer
     /// (the stand-ins' "answer lost after the change took effect" fault).
     bool drop_answer{false};
     /// What a handler holds until its answer is written.
-    std::shared_ptr<void> until_written;
+    std::shared_ptr<void> release_after_write;
 };
 
 /// A handler of one method: takes the params object, yields the result.
--- a/src/cornellever/session/statement_engine.ipp
+++ b/src/cornellever/session/statement_engine.ipp
@@ -88,7 +88,7 @@
 template <routing::link_connector Connector>
 void statement_engine<Connector>::log_served(pool& backends, const lease& held, const statement_run& run,
                                              const std::optional<sql::log_position>& floor) const {
-    if (!logs(severity::info)) {
+    if (!log_enabled(severity::info)) {
         return;
     }
     const auto now = boot_clock::now();
@@ -175,7 +175,7 @@
                                                                            std::size_t wanted, time_point until) {
     auto& at = *held->home;
     held->sent_at = boot_clock::now();
-    const scoped_count running{at.in_flight};
+    const scoped_increment running{at.in_flight};
     backends.set_awaiting(*held, true);
     auto got = co_await held->connection->exchange(std::move(batch), wanted, until);
     backends.set_awaiting(*held, false);
--- a/src/cornellever/standin/main.cpp
+++ b/src/cornellever/standin/main.cpp
@@ -39,7 +39,7 @@
         io.stop();
     });
     io.run();
-    io.abandon_pending();
+    io.destroy_suspended_coroutines();
     log_event(event::process_stopped, "role=platform");
     return 0;
 }
--- a/tests/emulator/replicated_service.cpp
+++ b/tests/emulator/replicated_service.cpp
@@ -23,7 +23,7 @@
     return {address.address(), static_cast<unsigned short>(address.port() + 1000)};
 }
 
-std::string take_word(std::string& rest) {
+std::string next_word(std::string& rest) {
     const auto blank = rest.find(' ');
     auto word = rest.substr(0, blank);
     rest = blank == std::string::npos ? std::string{} : rest.substr(blank + 1);
@@ -179,11 +179,11 @@
 }
 
 std::string emulated_server::answer(session& now, std::string line) {
-    take_word(line);
-    const auto id = take_word(line);
+    next_word(line);
+    const auto id = next_word(line);
     if (line.starts_with("AFTER ")) {
-        take_word(line);
-        const auto needed = platform::parse_position(take_word(line));
+        next_word(line);
+        const auto needed = platform::parse_position(next_word(line));
         if (!needed || !holds(*needed)) {
             return refuse(now, "LAGGING");
         }
@@ -222,7 +222,7 @@
 
 std::string emulated_server::run_own(session& now, const std::string& text) {
     auto rest = text;
-    const auto word = take_word(rest);
+    const auto word = next_word(rest);
     if (word == "BEGIN") {
         return begin(now, rest == "READ");
     }
@@ -235,10 +235,10 @@
     } else if (now.state == 'E') {
         return refuse(now, "MALFORMED");
     } else if (word == "SET") {
-        const auto name = take_word(rest);
+        const auto name = next_word(rest);
         now.values[name] = rest;
     } else if (word == "PREPARE") {
-        const auto name = take_word(rest);
+        const auto name = next_word(rest);
         now.prepared[name] = rest;
     } else if (word == "RESET") {
         now.values.clear();
@@ -274,11 +274,11 @@
     auto same = text == asked.text;
     if (text.starts_with("EXECUTE ")) {
         auto rest = text;
-        take_word(rest);
-        const auto prepared = now.prepared.find(take_word(rest));
+        next_word(rest);
+        const auto prepared = now.prepared.find(next_word(rest));
         auto told = asked.text;
-        take_word(told);
-        take_word(told);
+        next_word(told);
+        next_word(told);
         same = rest == told && prepared != now.prepared.end() && prepared->second == asked.prepared;
     }
     if (!same) {
--- a/tests/fuzz/request.cpp
+++ b/tests/fuzz/request.cpp
@@ -14,7 +14,7 @@
 /// An error of a decoder always says that nothing ran, and why.
 template <typename T>
 void check(const result<T>& decoded) {
-    if (!decoded && (!ran_not(decoded.error().code) || decoded.error().message.empty())) {
+    if (!decoded && (!guarantees_not_executed(decoded.error().code) || decoded.error().message.empty())) {
         std::abort();
     }
 }
@@ -35,7 +35,7 @@
         check(config::from_json(request->params));
     }
     const auto answer = rpc::parse_json(text);
-    if (rpc::answers(answer, 1)) {
+    if (rpc::is_response_to(answer, 1)) {
         (void)rpc::decode_response(*answer);
     }
     return 0;
--- a/tests/platform/wire.cpp
+++ b/tests/platform/wire.cpp
@@ -216,7 +216,7 @@
         },
         asio::detached);
     io.run();
-    io.abandon_pending();
+    io.destroy_suspended_coroutines();
     for (const auto* server : {&primary, &replica}) {
         for (const auto& line : server->callers_lines) {
             transcript += "server " + line + "\n";
@@ -283,7 +283,7 @@
             },
             asio::detached);
         io.run();
-        io.abandon_pending();
+        io.destroy_suspended_coroutines();
         return transcript;
     }
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -44,7 +44,7 @@
             io.stop();
         });
         io.run();
-        io.abandon_pending();
+        io.destroy_suspended_coroutines();
     }
     return broken == 0 ? 0 : 1;
 }
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -474,7 +474,7 @@
     BOOST_TEST((why(caller, 1) == refusal::overloaded));
     BOOST_TEST(proxy.server("p").of("b").empty());
     BOOST_TEST(caller.answers.at(2).ok());
-    proxy.io.abandon_pending();
+    proxy.io.destroy_suspended_coroutines();
 }
 
 // An owner of connections is sent a session by a proxy that has not heard yet
--- a/tests/unit/chart.cpp
+++ b/tests/unit/chart.cpp
@@ -9,14 +9,14 @@
 
 BOOST_AUTO_TEST_CASE(every_chart_in_the_binary_parses) {
     for (const auto text : {proxy::charts::failover, proxy::charts::drain}) {
-        const auto parsed = chart::parse(text, "chart");
+        const auto parsed = state_chart::parse(text, "chart");
         BOOST_REQUIRE_MESSAGE(parsed, (parsed ? "" : parsed.error().message));
         BOOST_TEST(!parsed->action(parsed->start()).empty());
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_chart_tells_the_next_state_and_refuses_unknown_events) {
-    const auto parsed = chart::parse("[state one]\ndo = step\nready = two\n", "c.ini");
+    const auto parsed = state_chart::parse("[state one]\ndo = step\nready = two\n", "c.ini");
     BOOST_REQUIRE(parsed);
     BOOST_TEST(*parsed->next("one", "ready") == "two");
     BOOST_TEST(!parsed->next("one", "never"));
@@ -24,7 +24,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(every_mistake_in_a_chart_is_reported) {
-    const auto parsed = chart::parse("[stat one]\ndo = a\n[state two]\nx = y\nbroken\n", "c.ini");
+    const auto parsed = state_chart::parse("[stat one]\ndo = a\n[state two]\nx = y\nbroken\n", "c.ini");
     BOOST_REQUIRE(!parsed);
     for (const auto* part : {"[stat one]", "state two has no action", "c.ini:5"}) {
         BOOST_TEST(parsed.error().message.find(part) != std::string::npos, part << " is reported");
--- a/tests/unit/cluster.cpp
+++ b/tests/unit/cluster.cpp
@@ -471,7 +471,7 @@
     BOOST_TEST(seen_rows[2].first == 1U);
     BOOST_TEST(seen_rows[2].second == "3");
     BOOST_TEST((store.asked_after == std::vector<std::uint64_t>{4, 5, 5, 9}));
-    io.abandon_pending();
+    io.destroy_suspended_coroutines();
 }
 
 // With 64 proxies each change of one server took 64 calls to the store, which
@@ -513,7 +513,7 @@
     // The version of the last change, not that of the store.
     BOOST_TEST((versions == std::vector<std::uint64_t>{3, 9}));
     BOOST_TEST(store.asked_after.front() == 8U);
-    io.abandon_pending();
+    io.destroy_suspended_coroutines();
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/unit/failover.cpp
+++ b/tests/unit/failover.cpp
@@ -11,8 +11,8 @@
 
 using test_failover = proxy::failover<fake_store, fake_group>;
 
-const chart& steps() {
-    static const auto parsed = chart::parse(proxy::charts::failover, "failover.ini");
+const state_chart& steps() {
+    static const auto parsed = state_chart::parse(proxy::charts::failover, "failover.ini");
     return parsed.value();
 }
 
--- a/tests/unit/fake_backend.hpp
+++ b/tests/unit/fake_backend.hpp
@@ -53,7 +53,7 @@
     asio::awaitable<result<Json::Value>> execute(const Json::Value& in, rpc::connection& conn) {
         last_connection = conn.id;
         last_inside = open.contains(conn.id);
-        conn.go_silent = conn.id <= silent_up_to;
+        conn.stop_answering = conn.id <= silent_up_to;
         if (in["sql"] == "BEGIN") {
             open.insert(conn.id);
         }
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -372,7 +372,7 @@
     BOOST_TEST((got[1].what == limit_verdict::kind::used_up));
     BOOST_TEST((got[1].wait == 30ms));
     BOOST_TEST((got[2].what == limit_verdict::kind::used_up));
-    io.abandon_pending();
+    io.destroy_suspended_coroutines();
 }
 
 // A flood of one account: its operations beyond the limit are refused before
--- a/tests/unit/promotions.cpp
+++ b/tests/unit/promotions.cpp
@@ -171,8 +171,8 @@
     }
 };
 
-chart steps() {
-    return *chart::parse(cluster::charts::promotion, "promotion.ini");
+state_chart steps() {
+    return *state_chart::parse(cluster::charts::promotion, "promotion.ini");
 }
 
 /// Plays one course of events: `choices` decide in turn which waiting call is
@@ -225,7 +225,7 @@
     for (auto& apply : now.late) {
         apply();
     }
-    now.io.abandon_pending();
+    now.io.destroy_suspended_coroutines();
     std::map<std::uint64_t, std::pair<std::string, std::string>> by_token;
     for (const auto& item : now.orders) {
         const auto [at, added] = by_token.emplace(item.token, std::pair{item.holder, item.server});
@@ -241,7 +241,7 @@
 BOOST_AUTO_TEST_SUITE(promotions)
 
 BOOST_AUTO_TEST_CASE(the_chart_parses) {
-    BOOST_TEST(chart::parse(cluster::charts::promotion, "promotion.ini").has_value());
+    BOOST_TEST(state_chart::parse(cluster::charts::promotion, "promotion.ini").has_value());
 }
 
 // A database has two primaries for a while, or an order given long ago undoes
--- a/tests/unit/proxy_in_memory.hpp
+++ b/tests/unit/proxy_in_memory.hpp
@@ -100,7 +100,7 @@
         io.restart();
     }
 
-    ~proxy_in_memory() { io.abandon_pending(); }
+    ~proxy_in_memory() { io.destroy_suspended_coroutines(); }
 };
 
 } // namespace cornellever::test
--- a/tests/unit/store_watch.cpp
+++ b/tests/unit/store_watch.cpp
@@ -53,7 +53,7 @@
 struct followed_table {
     followed_table() { asio::co_spawn(io, follower.run(), asio::detached); }
 
-    ~followed_table() { io.abandon_pending(); }
+    ~followed_table() { io.destroy_suspended_coroutines(); }
 
     void play(std::chrono::milliseconds span) {
         io.restart();
--- a/tests/unit/transactions.cpp
+++ b/tests/unit/transactions.cpp
@@ -203,7 +203,7 @@
     run_coroutine(io, [&]() -> asio::awaitable<void> {
         auto refused = co_await links.await_primary("stockbook", "orders", rig::clock::now() + 10s);
         BOOST_REQUIRE(!refused.has_value());
-        BOOST_TEST(ran_not(refused.error().code));
+        BOOST_TEST(guarantees_not_executed(refused.error().code));
         BOOST_TEST(refused.error().retry_after.count() > 0);
     });
 }
