--- a/src/cornellever/backend/replication.cpp
+++ b/src/cornellever/backend/replication.cpp
@@ -5,7 +5,7 @@
 #include "cornellever/core/daemon.hpp"
 #include "cornellever/core/log.hpp"
 #include "cornellever/core/quorum.hpp"
-#include "cornellever/rpc/kept_channel.hpp"
+#include "cornellever/rpc/reconnecting_channel.hpp"
 
 namespace cornellever::backend {
 
--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -29,7 +29,7 @@
 #include "cornellever/cluster/table_news.hpp"
 #include "cornellever/cluster/traffic_bridge.hpp"
 #include "cornellever/core/log.hpp"
-#include "cornellever/core/scoped_count.hpp"
+#include "cornellever/core/scoped_increment.hpp"
 #include "cornellever/core/stable_hash.hpp"
 #include "cornellever/rpc/channel.hpp"
 #include "cornellever/rpc/fields.hpp"
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -13,8 +13,8 @@
 #include "cornellever/cluster/promotion_claim.hpp"
 #include "cornellever/cluster/successor.hpp"
 #include "cornellever/core/boot_clock.hpp"
-#include "cornellever/core/chart.hpp"
 #include "cornellever/core/log.hpp"
+#include "cornellever/core/state_chart.hpp"
 
 namespace cornellever::cluster {
 
--- a/src/cornellever/core/daemon.hpp
+++ b/src/cornellever/core/daemon.hpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
 #include "cornellever/core/log.hpp"
+#include "cornellever/core/state_chart.hpp"
 
 namespace cornellever {
 
--- a/src/cornellever/core/chart.cpp
+++ b/src/cornellever/core/state_chart.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/core/chart.hpp"
+#include "cornellever/core/state_chart.hpp"
 
 #include "cornellever/ini/reader.hpp"
 
--- a/src/cornellever/ctl/folder_base.cpp
+++ b/src/cornellever/ctl/base_version.cpp
@@ -1,4 +1,4 @@
-#include "cornellever/ctl/folder_base.hpp"
+#include "cornellever/ctl/base_version.hpp"
 
 #include <fstream>
 
--- a/src/cornellever/limits/grant_message.cpp
+++ b/src/cornellever/limits/grant_message.cpp
@@ -1,6 +1,6 @@
 #include "cornellever/limits/grant_message.hpp"
 
-#include "cornellever/core/words.hpp"
+#include "cornellever/core/text_parsing.hpp"
 
 namespace cornellever::limits {
 
--- a/src/cornellever/proxy/backend_links.cpp
+++ b/src/cornellever/proxy/backend_links.cpp
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "cornellever/core/quorum.hpp"
-#include "cornellever/core/scoped_count.hpp"
+#include "cornellever/core/scoped_increment.hpp"
 #include "cornellever/proxy/answer.hpp"
 #include "cornellever/rpc/fields.hpp"
 
--- a/src/cornellever/proxy/config_follower.hpp
+++ b/src/cornellever/proxy/config_follower.hpp
@@ -8,7 +8,7 @@
 #include "cornellever/config/model.hpp"
 #include "cornellever/core/asio.hpp"
 #include "cornellever/core/error.hpp"
-#include "cornellever/rpc/kept_channel.hpp"
+#include "cornellever/rpc/reconnecting_channel.hpp"
 
 namespace cornellever::proxy {
 
--- a/src/cornellever/proxy/control.cpp
+++ b/src/cornellever/proxy/control.cpp
@@ -4,7 +4,7 @@
 
 #include "cornellever/core/log.hpp"
 #include "cornellever/rpc/fields.hpp"
-#include "cornellever/rpc/kept_channel.hpp"
+#include "cornellever/rpc/reconnecting_channel.hpp"
 
 namespace cornellever::proxy {
 
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -8,7 +8,7 @@
 
 #include "cornellever/config/model.hpp"
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/config_follower.hpp"
 #include "cornellever/proxy/primary_keeper.hpp"
 #include "cornellever/proxy/router.hpp"
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
 #include "cornellever/core/error.hpp"
 #include "cornellever/core/quorum.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/group_record.hpp"
 #include "cornellever/proxy/write_mark.hpp"
 
--- a/src/cornellever/proxy/planned_stop.hpp
+++ b/src/cornellever/proxy/planned_stop.hpp
@@ -4,7 +4,7 @@
 #include <string_view>
 
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/router.hpp"
 #include "cornellever/rpc/server.hpp"
 
--- a/src/cornellever/proxy/primary_keeper.hpp
+++ b/src/cornellever/proxy/primary_keeper.hpp
@@ -9,7 +9,7 @@
 
 #include "cornellever/config/model.hpp"
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/backend_group.hpp"
 #include "cornellever/proxy/backoff.hpp"
 #include "cornellever/proxy/failover.hpp"
--- a/src/cornellever/rpc/channel.cpp
+++ b/src/cornellever/rpc/channel.cpp
@@ -3,7 +3,7 @@
 #include <boost/beast/http.hpp>
 
 #include "cornellever/rpc/envelope.hpp"
-#include "cornellever/rpc/paced_read.hpp"
+#include "cornellever/rpc/idle_timeout_read.hpp"
 
 namespace cornellever::rpc {
 
--- a/src/cornellever/rpc/server.cpp
+++ b/src/cornellever/rpc/server.cpp
@@ -4,9 +4,9 @@
 #include <boost/beast/http.hpp>
 
 #include "cornellever/core/log.hpp"
-#include "cornellever/core/scoped_count.hpp"
+#include "cornellever/core/scoped_increment.hpp"
 #include "cornellever/rpc/envelope.hpp"
-#include "cornellever/rpc/paced_read.hpp"
+#include "cornellever/rpc/idle_timeout_read.hpp"
 
 namespace cornellever::rpc {
 
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cornellever/accounts/gate.hpp"
-#include "cornellever/core/scoped_count.hpp"
+#include "cornellever/core/scoped_increment.hpp"
 #include "cornellever/routing/admission.hpp"
 #include "cornellever/routing/service_pool.hpp"
 #include "cornellever/session/answers.hpp"
--- a/tests/unit/chart.cpp
+++ b/tests/unit/state_chart.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/test/unit_test.hpp>
 
-#include "cornellever/core/chart.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/charts.hpp"
 
 using namespace cornellever;
