--- a/src/cornellever/core/asio.cpp
+++ b/src/cornellever/core/asio.cpp
@@ -26,8 +26,8 @@
     return true;
 }
 
-std::string to_string(const tcp::endpoint& where) {
-    return where.address().to_string() + ":" + std::to_string(where.port());
+std::string to_string(const tcp::endpoint& socket_address) {
+    return socket_address.address().to_string() + ":" + std::to_string(socket_address.port());
 }
 
 asio::awaitable<void> sleep_for(std::chrono::milliseconds duration) {
--- a/src/cornellever/core/asio.hpp
+++ b/src/cornellever/core/asio.hpp
@@ -13,11 +13,12 @@
 namespace asio = boost::asio;
 using tcp = boost::asio::ip::tcp;
 
-/// Parses "host:port" into an endpoint; no name lookup, addresses are IP numbers.
+/// Parses `host:port`, where the host is a numeric IP address; names are not
+/// resolved. Returns false, with `out` unchanged, when `text` has another form.
 [[nodiscard]] bool parse_endpoint(std::string_view text, tcp::endpoint& out);
 
 /// Formats an endpoint as `address:port`.
-[[nodiscard]] std::string to_string(const tcp::endpoint& where);
+[[nodiscard]] std::string to_string(const tcp::endpoint& socket_address);
 
 /// Suspends the calling coroutine for `duration`.
 asio::awaitable<void> sleep_for(std::chrono::milliseconds duration);
--- a/src/cornellever/core/base64.hpp
+++ b/src/cornellever/core/base64.hpp
@@ -8,7 +8,7 @@
 
 [[nodiscard]] std::string encode_base64(std::string_view bytes);
 
-/// Nothing when the text is not base64.
+/// Returns `nullopt` when `text` is not valid base64; padding is optional.
 [[nodiscard]] std::optional<std::string> decode_base64(std::string_view text);
 
 } // namespace cornellever
--- a/src/cornellever/core/boot_clock.hpp
+++ b/src/cornellever/core/boot_clock.hpp
@@ -5,10 +5,10 @@
 
 namespace cornellever {
 
-/// A monotonic clock that also counts the time a suspended VM slept
-/// (CLOCK_BOOTTIME). The age of anything believed about another process is
-/// measured on it: the steady clock stops in a suspend, so that a sample or a
-/// lease would look fresh on waking although everything has moved on.
+/// A monotonic clock that also advances while the VM is suspended
+/// (CLOCK_BOOTTIME). Ages of samples, leases and other observations of remote
+/// processes are measured with it: the steady clock stops during a suspend, so
+/// that they would look fresh after the resume although they are outdated.
 struct boot_clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -16,7 +16,6 @@
     using time_point = std::chrono::time_point<boot_clock>;
     static constexpr bool is_steady = true;
 
-    /// The time now.
     [[nodiscard]] static time_point now() noexcept {
         timespec ts{};
         clock_gettime(CLOCK_BOOTTIME, &ts);
@@ -24,7 +23,7 @@
     }
 };
 
-/// Whole milliseconds of a duration, for logs and messages.
+/// The duration in whole milliseconds, rounded towards zero; for logs and messages.
 template <typename Duration>
 [[nodiscard]] constexpr long long to_ms(Duration span) noexcept {
     return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
--- a/src/cornellever/core/daemon.cpp
+++ b/src/cornellever/core/daemon.cpp
@@ -30,7 +30,7 @@
 state_chart load_state_chart(std::string_view text, std::string_view name) {
     auto parsed = state_chart::parse(text, name);
     if (!parsed) {
-        std::fprintf(stderr, "chart %s: %s\n", std::string{name}.c_str(), parsed.error().message.c_str());
+        std::fprintf(stderr, "state chart %s: %s\n", std::string{name}.c_str(), parsed.error().message.c_str());
         std::exit(1);
     }
     return std::move(*parsed);
@@ -38,12 +38,12 @@
 
 bool parse_endpoints(std::span<const std::string> texts, std::vector<tcp::endpoint>& out) {
     for (const auto& text : texts) {
-        tcp::endpoint where;
-        if (!parse_endpoint(text, where)) {
+        tcp::endpoint address;
+        if (!parse_endpoint(text, address)) {
             std::fprintf(stderr, "'%s' is not IP:PORT\n", text.c_str());
             return false;
         }
-        out.push_back(where);
+        out.push_back(address);
     }
     return true;
 }
--- a/src/cornellever/core/daemon.hpp
+++ b/src/cornellever/core/daemon.hpp
@@ -13,31 +13,31 @@
 
 namespace cornellever {
 
-/// The event loop of a daemon's thread.
+/// The event loop of one thread.
 class event_loop : public asio::io_context {
 public:
-    /// Destroys every coroutine still suspended. Called after `run` returned
-    /// and before the objects those coroutines refer to are destroyed: left
-    /// to the loop's own destructor, they would run their clean-up on objects
-    /// that are gone already.
+    /// Destroys every coroutine that is still suspended. Must be called after
+    /// `run` has returned and before the objects that those coroutines refer to
+    /// are destroyed: the destructor of the loop would run the destructors of
+    /// their locals on objects that no longer exist.
     void destroy_suspended_coroutines() { shutdown(); }
 };
 
-/// Calls `on_stop` on the io_context's thread when SIGTERM or SIGINT arrives.
-/// The signal set lives as long as the returned object.
+/// Calls `on_stop` once, on the thread of `io`, when SIGTERM or SIGINT arrives.
+/// Destroying the returned object stops the wait for the signals.
 [[nodiscard]] std::unique_ptr<asio::signal_set> on_stop_signal(asio::io_context& io, std::function<void()> on_stop);
 
-/// Sets up logging from a `--log-level` value; false with a message on
-/// standard error when the level is not known.
+/// Initializes logging with the value of `--log-level`. Returns false, with a
+/// message on standard error, when the level is unknown.
 [[nodiscard]] bool start_logging(std::string_view role, std::string_view level);
 
-/// The state chart in `text`, which is compiled in under `name`: a process
-/// can't run without it, and ends here if it does not parse. A test parses
-/// every chart.
+/// Parses a state chart that is compiled into the binary. The process cannot
+/// run without it: on a parse error it prints the error on standard error and
+/// exits with status 1. A unit test parses every compiled-in chart.
 [[nodiscard]] state_chart load_state_chart(std::string_view text, std::string_view name);
 
-/// Reads `IP:PORT` texts from a command line into `out`; false with a
-/// message on standard error at the first that is none.
+/// Parses `IP:PORT` command-line values and appends them to `out`. Returns
+/// false, with a message on standard error, at the first invalid value.
 [[nodiscard]] bool parse_endpoints(std::span<const std::string> texts, std::vector<tcp::endpoint>& out);
 
 } // namespace cornellever
--- a/src/cornellever/core/error.cpp
+++ b/src/cornellever/core/error.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::array<std::pair<errc, std::string_view>, 10> names{{
+constexpr std::array<std::pair<errc, std::string_view>, 10> code_names{{
     {errc::bad_request, "bad_request"},
     {errc::not_found, "not_found"},
     {errc::conflict, "conflict"},
@@ -23,7 +23,7 @@
 } // namespace
 
 std::string_view to_string(errc code) noexcept {
-    for (const auto& [value, name] : names) {
+    for (const auto& [value, name] : code_names) {
         if (value == code) {
             return name;
         }
@@ -32,7 +32,7 @@
 }
 
 errc errc_from_string(std::string_view name) noexcept {
-    for (const auto& [value, known] : names) {
+    for (const auto& [value, known] : code_names) {
         if (known == name) {
             return value;
         }
--- a/src/cornellever/core/event.hpp
+++ b/src/cornellever/core/event.hpp
@@ -5,28 +5,33 @@
 
 namespace cornellever {
 
-/// Severity of a logged event.
 enum class severity { debug, info, warning, error };
 
-/// Every event a process can log. The number is stable and is the key into
-/// the catalogue in docs/EVENTS.md; add new events at the end of a block.
+/// All events that are logged. The numbers are stable and identify the events in
+/// docs/EVENTS.md; new events are added at the end of their block.
 enum class event : std::uint16_t {
+    // Processes and RPC.
     process_started = 1001,
     process_stopping = 1002,
     process_stopped = 1003,
     listen_failed = 1004,
     rpc_bad_request = 1010,
+    // Configuration, registry and metadata store.
     config_loaded = 1101,
     config_refused = 1102,
     config_fetch_failed = 1103,
     settings_reloaded = 1104,
     registry_loaded = 1105,
     registration_refused = 1106,
+    /// A change of a followed table could not be processed.
     table_not_taken = 1107,
     store_lost = 1110,
     store_regained = 1111,
+    /// The metadata store was restored from an older copy.
     store_returned = 1112,
+    /// The store holds an older configuration than the one in use.
     stored_config_older = 1113,
+    // Backend servers, primaries, failover and cluster membership.
     instance_up = 1201,
     instance_down = 1202,
     failover_started = 1203,
@@ -34,17 +39,25 @@
     failover_given_up = 1205,
     primary_found = 1206,
     primary_lost = 1207,
+    /// The assessment of a primary's health has changed.
     primary_judged = 1208,
     promotion_step = 1209,
     member_joined = 1210,
     member_lost = 1211,
+    /// A server was restarted under the same id.
     server_reborn = 1212,
+    /// Periodic report on messages exchanged with the store and peers.
     control_exchanged = 1213,
+    // Connection pools, sessions, requests and logging.
     pool_exhausted = 1301,
     connection_broken = 1302,
+    /// An open transaction was dropped because its caller was gone or idle too long.
     transaction_abandoned = 1303,
+    /// A replica did not serve a read; another server is tried.
     replica_fallback = 1304,
+    /// The idle connections to a server were closed because they may be broken.
     connections_suspect = 1305,
+    /// A write was not confirmed, and its outcome could not be determined.
     write_unconfirmed = 1306,
     request_repeated = 1307,
     connect_failed = 1308,
@@ -54,28 +67,31 @@
     outcome_unknown = 1312,
     transaction_failed = 1313,
     request_served = 1314,
+    /// A server has not answered within its usual time.
     answer_overdue = 1315,
     session_relayed = 1316,
     request_forbidden = 1317,
     limit_refused = 1318,
+    /// The outcome of an unconfirmed write was determined.
     write_settled = 1319,
     lines_dropped = 1320,
+    // Role `backend`.
     backend_write = 1401,
     backend_shipped = 1402,
     backend_refused = 1404,
+    // Role `platform`.
     platform_fault_set = 1501,
     platform_row_written = 1502,
     platform_snapshot_failed = 1503,
 };
 
-/// Catalogue entry: the event's dotted name and severity.
+/// Name and severity of an event.
 struct event_info {
     event id;
     std::string_view name;
     severity level;
 };
 
-/// The catalogue entry of `id`.
 [[nodiscard]] const event_info& describe(event id) noexcept;
 
 } // namespace cornellever
--- a/src/cornellever/core/log.cpp
+++ b/src/cornellever/core/log.cpp
@@ -71,8 +71,8 @@
     }
 }
 
-/// Writes lines on a thread of its own: a reader of standard output that
-/// stops reading blocks this thread and no other.
+/// Writes log lines on its own thread: when the reader of standard output stops
+/// reading, only this thread blocks.
 class background_writer {
 public:
     void start() {
@@ -90,7 +90,8 @@
         m_wake.notify_one();
     }
 
-    /// Writes what waits, but not longer than `limit`.
+    /// Writes the queued lines, for at most `limit`; after that the thread is
+    /// detached, since it may be blocked in a write.
     void stop(std::chrono::milliseconds limit) {
         std::unique_lock lock{m_mutex};
         m_stopping = true;
@@ -137,7 +138,7 @@
     bool m_finished{false};
 };
 
-/// Never destroyed: a writer that hangs on standard output outlives `main`.
+/// Never destroyed: its thread may block on standard output beyond the end of `main`.
 background_writer& writer() {
     static auto* const instance = new background_writer;
     return *instance;
--- a/src/cornellever/core/log.hpp
+++ b/src/cornellever/core/log.hpp
@@ -8,31 +8,30 @@
 
 namespace cornellever {
 
-/// Sets up easylogging++ for a role: one line per event on standard error,
-/// tagged with the role's name; events below `minimum` are dropped.
+/// Initializes easylogging++: one line per event on standard output, tagged with
+/// the name of the process's role. Events below `minimum` are not logged.
 void init_logging(std::string_view role, severity minimum);
 
-/// Drops events below `minimum` from now on.
+/// Changes the minimum severity while the process runs.
 void set_log_level(severity minimum);
 
-/// Parses "debug", "info", "warning" or "error"; false for anything else.
+/// Parses `debug`, `info`, `warning` or `error`; returns false for anything else.
 [[nodiscard]] bool parse_severity(std::string_view text, severity& out);
 
-/// Hands lines to a thread that writes them, from now on: `log_event` then
-/// never waits for standard output, and drops lines rather than memory (see
-/// `log_queue`).
+/// Starts a thread that writes the log. From then on `log_event` never blocks on
+/// standard output; lines that exceed the bounds of `log_queue` are dropped.
 void start_background_log();
 
-/// Writes what waits, for at most `limit`, and ends that thread.
+/// Writes the queued lines, for at most `limit`, and stops that thread.
 void stop_background_log(std::chrono::milliseconds limit);
 
-/// Lines that were dropped so far.
+/// The number of log lines dropped since the start.
 [[nodiscard]] std::uint64_t log_lines_dropped();
 
-/// Whether events of this severity are logged: spares making up a line.
+/// Whether events of this severity are logged; lets callers skip formatting.
 [[nodiscard]] bool log_enabled(severity level) noexcept;
 
-/// Logs one event as `CL<number> <name> <fields>`; `fields` are `key=value` pairs.
+/// Logs an event as `CL<number> <name> <fields>`; `fields` are `key=value` pairs.
 void log_event(event id, std::string_view fields = {});
 
 } // namespace cornellever
--- a/src/cornellever/core/packing.cpp
+++ b/src/cornellever/core/packing.cpp
@@ -21,14 +21,14 @@
 packed_text pack(std::string_view text) {
     auto length = ::compressBound(static_cast<uLong>(text.size()));
     std::string out(length, '\0');
-    // Fails only for want of room, and the bound is the room that it may need.
+    // Cannot fail: the buffer has the maximum compressed size.
     (void)::compress2(bytes_of(out), &length, bytes_of(text), static_cast<uLong>(text.size()), Z_BEST_SPEED);
     out.resize(length);
     return {text.size(), encode_base64(out)};
 }
 
-result<std::string> unpack(const packed_text& packed, std::size_t most) {
-    if (packed.bytes > most) {
+result<std::string> unpack(const packed_text& packed, std::size_t max_bytes) {
+    if (packed.bytes > max_bytes) {
         return fail(errc::bad_request, "a packed text of " + std::to_string(packed.bytes) + " bytes is too long");
     }
     const auto compressed = decode_base64(packed.base64);
@@ -37,9 +37,9 @@
     }
     std::string out(packed.bytes, '\0');
     auto length = static_cast<uLongf>(out.size());
-    const auto done =
+    const auto status =
         ::uncompress(bytes_of(out), &length, bytes_of(*compressed), static_cast<uLong>(compressed->size()));
-    if (done != Z_OK || length != out.size()) {
+    if (status != Z_OK || length != out.size()) {
         return fail(errc::bad_request, "a packed text cannot be unpacked");
     }
     return out;
--- a/src/cornellever/core/packing.hpp
+++ b/src/cornellever/core/packing.hpp
@@ -8,18 +8,17 @@
 
 namespace cornellever {
 
-/// Compressed text as base64, to stand in a JSON string.
+/// A zlib-compressed text, base64-encoded for use in a JSON string.
 struct packed_text {
-    /// Of the text itself.
+    /// Length of the uncompressed text.
     std::size_t bytes{0};
     std::string base64;
 };
 
-/// Compresses `text`.
 [[nodiscard]] packed_text pack(std::string_view text);
 
-/// The text again. `bad_request` when it is not what `pack` made, or is said to
-/// be longer than `most` bytes.
-[[nodiscard]] result<std::string> unpack(const packed_text& packed, std::size_t most);
+/// Returns the uncompressed text. Errors: `bad_request` when `packed` is malformed
+/// or declares more than `max_bytes` of uncompressed text.
+[[nodiscard]] result<std::string> unpack(const packed_text& packed, std::size_t max_bytes);
 
 } // namespace cornellever
--- a/src/cornellever/core/quorum.hpp
+++ b/src/cornellever/core/quorum.hpp
@@ -4,13 +4,13 @@
 
 namespace cornellever {
 
-/// The smallest number of `members` instances such that any two sets of
-/// that size share one.
+/// The size of a majority quorum of `members`: any two majorities intersect.
 [[nodiscard]] constexpr std::size_t majority_of(std::size_t members) noexcept {
     return members / 2 + 1;
 }
 
-/// How many replicas must hold a write, beside its primary, for a majority.
+/// The number of replicas that must acknowledge a write so that, with the
+/// primary, a majority holds it.
 [[nodiscard]] constexpr std::size_t required_replica_acks(std::size_t members) noexcept {
     return majority_of(members) - 1;
 }
--- a/src/cornellever/core/role.hpp
+++ b/src/cornellever/core/role.hpp
@@ -4,8 +4,8 @@
 
 namespace cornellever {
 
-/// Entry point of one role: `args` are the role's own arguments, the role's
-/// name first. Returns the process exit status.
+/// Entry point of a role, which is the first command-line argument. `args` starts
+/// with the role's name, followed by its own arguments. Returns the exit status.
 using role_main = int (*)(std::span<char*> args);
 
 int platform_main(std::span<char*> args);
--- a/src/cornellever/core/scoped_increment.hpp
+++ b/src/cornellever/core/scoped_increment.hpp
@@ -4,7 +4,7 @@
 
 namespace cornellever {
 
-/// Holds a counter up by one for its own lifetime.
+/// Increments a counter on construction and decrements it on destruction.
 class scoped_increment {
 public:
     explicit scoped_increment(std::size_t& counter) : m_counter{counter} { ++m_counter; }
--- a/src/cornellever/core/stable_hash.hpp
+++ b/src/cornellever/core/stable_hash.hpp
@@ -6,8 +6,8 @@
 
 namespace cornellever {
 
-/// A hash of the texts one after the other that is the same in every process,
-/// unlike std::hash (FNV-1a, followed by a mix of its bits).
+/// Hashes the concatenated texts (FNV-1a with a final bit mix). Unlike
+/// `std::hash`, the result is the same in every process.
 [[nodiscard]] constexpr std::uint64_t stable_hash(std::initializer_list<std::string_view> texts) noexcept {
     std::uint64_t out = 14695981039346656037ULL;
     for (const auto text : texts) {
--- a/src/cornellever/core/state_chart.cpp
+++ b/src/cornellever/core/state_chart.cpp
@@ -26,14 +26,14 @@
             continue;
         }
         const auto state_name = item.section.substr(section_prefix.size());
-        if (out.m_start.empty()) {
-            out.m_start = state_name;
+        if (out.m_initial_state.empty()) {
+            out.m_initial_state = state_name;
         }
         auto& target = out.m_states[state_name];
         if (item.key == action_key) {
             target.action = item.value;
         } else {
-            target.on[item.key] = item.value;
+            target.transitions[item.key] = item.value;
         }
     }
     for (const auto& [state_name, item] : out.m_states) {
@@ -42,11 +42,11 @@
         }
     }
     if (!findings.empty()) {
-        std::string all;
+        std::string message;
         for (const auto& item : findings) {
-            all += (all.empty() ? "" : "; ") + ini::to_string(item);
+            message += (message.empty() ? "" : "; ") + ini::to_string(item);
         }
-        return fail(errc::bad_request, all);
+        return fail(errc::bad_request, message);
     }
     return out;
 }
@@ -59,7 +59,7 @@
 result<std::string> state_chart::next(std::string_view state, std::string_view event) const {
     const auto found = m_states.find(state);
     if (found != m_states.end()) {
-        if (const auto to = found->second.on.find(event); to != found->second.on.end()) {
+        if (const auto to = found->second.transitions.find(event); to != found->second.transitions.end()) {
             return to->second;
         }
     }
--- a/src/cornellever/core/text_parsing.hpp
+++ b/src/cornellever/core/text_parsing.hpp
@@ -7,20 +7,21 @@
 
 namespace cornellever {
 
-/// Cuts the first word off `rest`, with the blank behind it.
+/// Removes the first space-separated word, and the space after it, from `rest`
+/// and returns the word.
 [[nodiscard]] inline std::string_view next_word(std::string_view& rest) {
-    const auto blank = rest.find(' ');
-    const auto word = rest.substr(0, blank);
-    rest = blank == std::string_view::npos ? std::string_view{} : rest.substr(blank + 1);
+    const auto separator = rest.find(' ');
+    const auto word = rest.substr(0, separator);
+    rest = separator == std::string_view::npos ? std::string_view{} : rest.substr(separator + 1);
     return word;
 }
 
-/// The whole number that all of `text` writes; nothing for anything else.
+/// Parses all of `text` as an unsigned decimal number; `nullopt` when it is not one.
 [[nodiscard]] inline std::optional<std::uint64_t> parse_unsigned(std::string_view text) {
     std::uint64_t out = 0;
     const auto* const end = text.data() + text.size();
-    const auto got = std::from_chars(text.data(), end, out);
-    return got.ec == std::errc{} && got.ptr == end ? std::optional{out} : std::nullopt;
+    const auto parsed = std::from_chars(text.data(), end, out);
+    return parsed.ec == std::errc{} && parsed.ptr == end ? std::optional{out} : std::nullopt;
 }
 
 } // namespace cornellever
--- a/tests/unit/state_chart.cpp
+++ b/tests/unit/state_chart.cpp
@@ -7,7 +7,7 @@
 
 using namespace cornellever;
 
-BOOST_AUTO_TEST_CASE(every_chart_in_the_binary_parses) {
+BOOST_AUTO_TEST_CASE(compiled_in_charts_parse) {
     for (const auto text : {proxy::charts::failover, proxy::charts::drain}) {
         const auto parsed = state_chart::parse(text, "chart");
         BOOST_REQUIRE_MESSAGE(parsed, (parsed ? "" : parsed.error().message));
@@ -15,7 +15,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_chart_tells_the_next_state_and_refuses_unknown_events) {
+BOOST_AUTO_TEST_CASE(events_select_the_next_state_and_unknown_events_fail) {
     const auto parsed = state_chart::parse("[state one]\ndo = step\nready = two\n", "c.ini");
     BOOST_REQUIRE(parsed);
     BOOST_TEST(*parsed->next("one", "ready") == "two");
@@ -23,7 +23,7 @@
     BOOST_TEST(parsed->action("two").empty());
 }
 
-BOOST_AUTO_TEST_CASE(every_mistake_in_a_chart_is_reported) {
+BOOST_AUTO_TEST_CASE(all_errors_in_a_chart_are_reported) {
     const auto parsed = state_chart::parse("[stat one]\ndo = a\n[state two]\nx = y\nbroken\n", "c.ini");
     BOOST_REQUIRE(!parsed);
     for (const auto* part : {"[stat one]", "state two has no action", "c.ini:5"}) {
