--- a/src/cornellever/metrics/latency.cpp
+++ b/src/cornellever/metrics/latency.cpp
@@ -25,11 +25,11 @@
     if (m_count == 0) {
         return 0.0;
     }
-    const double wanted = q * static_cast<double>(m_count);
-    double seen = 0.0;
+    const double target_count = q * static_cast<double>(m_count);
+    double cumulative = 0.0;
     for (auto&& cell : boost::histogram::indexed(m_histogram, boost::histogram::coverage::all)) {
-        seen += *cell;
-        if (seen >= wanted && *cell > 0) {
+        cumulative += *cell;
+        if (cumulative >= target_count && *cell > 0) {
             return std::min(cell.bin().upper(), m_max_us);
         }
     }
--- a/src/cornellever/metrics/latency.hpp
+++ b/src/cornellever/metrics/latency.hpp
@@ -8,25 +8,26 @@
 
 namespace cornellever::metrics {
 
-/// A latency histogram (Boost.Histogram) on a log axis from 10 us to 100 s.
-/// Quantiles are read off the bins, so they are exact to one bin (~12 %).
+/// A latency histogram (Boost.Histogram) with a logarithmic axis from 10 us to
+/// 100 s. Quantiles are accurate to one bin (about 12 %).
 class latency {
 public:
     latency();
 
-    /// Counts one observation.
     void record(std::chrono::nanoseconds elapsed);
 
-    /// Observations counted.
+    /// The number of recorded observations.
     [[nodiscard]] std::uint64_t count() const noexcept { return m_count; }
 
-    /// The upper edge of the bin holding quantile `q` (0 to 1), in microseconds; 0 when empty.
+    /// The upper edge of the bin that contains quantile `q` (0 to 1), in
+    /// microseconds, but at most the maximum recorded; 0 when empty.
     [[nodiscard]] double quantile_us(double q) const;
 
-    /// Count, p50, p90, p99 and max, in microseconds, for dumps and reports.
+    /// Count, and p50, p90, p99 and maximum in microseconds, as JSON for state
+    /// dumps and reports.
     [[nodiscard]] Json::Value describe() const;
 
-    /// Adds another histogram's counts to this one.
+    /// Adds the observations of `other`.
     void merge(const latency& other);
 
 private:
