--- a/src/cornellever/rpc/channel.cpp
+++ b/src/cornellever/rpc/channel.cpp
@@ -30,7 +30,7 @@
     m_connected = false;
 }
 
-void channel::break_off() {
+void channel::close_as_broken() {
     m_broken = true;
     close();
 }
@@ -61,12 +61,12 @@
 }
 
 asio::awaitable<result<Json::Value>> channel::call(std::string_view method, const Json::Value& params,
-                                                   std::chrono::milliseconds deadline,
-                                                   std::optional<std::chrono::milliseconds> piece_limit) {
+                                                   std::chrono::milliseconds time_limit,
+                                                   std::optional<std::chrono::milliseconds> idle_timeout) {
     if (m_broken) {
         co_return fail(errc::unavailable, "channel to " + describe(m_peer) + " was closed after a failed call");
     }
-    m_stream.expires_after(deadline);
+    m_stream.expires_after(time_limit);
     if (!m_connected) {
         auto connected = co_await connect();
         if (!connected) {
@@ -85,26 +85,26 @@
     m_bytes_sent += co_await http::async_write(m_stream, request, asio::redirect_error(asio::use_awaitable, ec));
     http::response_parser<http::string_body> parser;
     parser.body_limit(max_answer_bytes);
-    if (!ec && piece_limit) {
-        m_bytes_received += co_await read_with_idle_timeout(m_stream, m_buffer, parser, *piece_limit, ec);
+    if (!ec && idle_timeout) {
+        m_bytes_received += co_await read_with_idle_timeout(m_stream, m_buffer, parser, *idle_timeout, ec);
     } else if (!ec) {
         m_bytes_received +=
             co_await http::async_read(m_stream, m_buffer, parser, asio::redirect_error(asio::use_awaitable, ec));
     }
     if (ec) {
-        // The request may have reached the peer and run: a timeout or a cut
-        // connection after sending cannot tell "not run" from "ran".
-        break_off();
+        // The request may have been executed: after sending, a timeout or a
+        // closed connection does not show whether the peer received it.
+        close_as_broken();
         co_return fail(errc::outcome_unknown,
                        std::string{method} + " to " + describe(m_peer) + " got no whole answer: " + ec.message());
     }
     m_stream.expires_never();
     const auto answer = parse_json(parser.get().body());
     if (!is_response_to(answer, id)) {
-        // An answer to another request (late, or out of order) shows as a
-        // foreign id. Reading on would pair every later answer with the wrong
-        // request, so the connection ends here.
-        break_off();
+        // The id of another request: the response is late or out of order.
+        // On this connection every later response could be matched with the
+        // wrong request, so it is closed.
+        close_as_broken();
         co_return fail(errc::outcome_unknown, std::string{method} + " to " + describe(m_peer) +
                                                   " was answered with the answer to another request");
     }
@@ -115,12 +115,13 @@
 }
 
 result<Json::Value> call_blocking(const tcp::endpoint& peer, std::string_view method, const Json::Value& params,
-                                  std::chrono::milliseconds deadline) {
+                                  std::chrono::milliseconds time_limit) {
     asio::io_context io;
     channel link{io.get_executor(), peer};
     result<Json::Value> answer = fail(errc::internal, "not called");
     asio::co_spawn(
-        io, [&]() -> asio::awaitable<void> { answer = co_await link.call(method, params, deadline); }, asio::detached);
+        io, [&]() -> asio::awaitable<void> { answer = co_await link.call(method, params, time_limit); },
+        asio::detached);
     io.run();
     return answer;
 }
--- a/src/cornellever/rpc/channel.hpp
+++ b/src/cornellever/rpc/channel.hpp
@@ -14,35 +14,36 @@
 
 namespace cornellever::rpc {
 
-/// One client connection to a peer, kept open between calls. Calls on one
-/// channel must not overlap; a pool hands a channel to one caller at a time.
+/// A client connection to an RPC server, kept open between calls. Calls on one
+/// channel must not overlap; a pool checks it out to one caller at a time.
 class channel {
 public:
-    /// A channel to `peer`; it connects on its first call.
+    /// Does not connect yet; the first call does.
     channel(asio::any_io_executor executor, tcp::endpoint peer);
 
-    /// Calls `method` with `params` and waits at most `deadline` in all.
-    /// Errors: `unavailable` when no connection could be made (not run);
-    /// `outcome_unknown` when the request was sent but no whole answer came
-    /// back in time, after which the channel is closed; otherwise the error
-    /// the peer answered with.
-    /// With a `piece_limit` the deadline is that of the answer's beginning, and a
-    /// long answer may take longer, as `read_with_idle_timeout` says.
+    /// Calls `method` with `params`. Connecting, sending and receiving the response
+    /// may take `time_limit` in all; with an `idle_timeout` that limit ends when the
+    /// response begins to arrive, and the rest is read as by
+    /// `read_with_idle_timeout`.
+    /// Errors: `unavailable` when no connection could be made or the channel is
+    /// unusable (the request was not sent); `outcome_unknown` when the request was
+    /// sent but no valid response arrived in time, which makes the channel
+    /// unusable; otherwise the error that the peer returned.
     asio::awaitable<result<Json::Value>> call(std::string_view method, const Json::Value& params,
-                                              std::chrono::milliseconds deadline,
-                                              std::optional<std::chrono::milliseconds> piece_limit = {});
+                                              std::chrono::milliseconds time_limit,
+                                              std::optional<std::chrono::milliseconds> idle_timeout = {});
 
-    /// True when the peer closed this idle connection (or sent something
-    /// nobody asked for): a request sent on it would end in doubt.
+    /// Whether the peer closed this idle connection, or sent unsolicited data: the
+    /// outcome of a request sent on it would be unknown.
     [[nodiscard]] bool stale();
 
-    /// False once a call failed in a way that leaves the connection in doubt.
+    /// False once a call has failed with `outcome_unknown` for lack of a valid
+    /// response: every later call is refused.
     [[nodiscard]] bool usable() const noexcept { return !m_broken; }
 
-    /// The peer this channel talks to.
     [[nodiscard]] const tcp::endpoint& peer() const noexcept { return m_peer; }
 
-    /// Bytes written and read on this channel so far, HTTP headers included.
+    /// Total bytes written and read, including HTTP headers.
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept { return m_bytes_sent; }
     [[nodiscard]] std::uint64_t bytes_received() const noexcept { return m_bytes_received; }
 
@@ -51,7 +52,8 @@
 
 private:
     asio::awaitable<result<void>> connect();
-    void break_off();
+    /// Closes the connection for good: `usable` is false afterwards.
+    void close_as_broken();
 
     boost::beast::tcp_stream m_stream;
     boost::beast::flat_buffer m_buffer;
@@ -63,9 +65,9 @@
     bool m_broken{false};
 };
 
-/// Makes one call on a fresh connection from a thread with no io_context
-/// of its own (the command line); blocks until the answer or the deadline.
+/// Makes one call on a new connection and blocks until the response or the time
+/// limit; for threads without an io_context, such as the command line's.
 [[nodiscard]] result<Json::Value> call_blocking(const tcp::endpoint& peer, std::string_view method,
-                                                const Json::Value& params, std::chrono::milliseconds deadline);
+                                                const Json::Value& params, std::chrono::milliseconds time_limit);
 
 } // namespace cornellever::rpc
--- a/src/cornellever/rpc/envelope.cpp
+++ b/src/cornellever/rpc/envelope.cpp
@@ -30,12 +30,12 @@
     }
     const auto& data = object["data"];
     if (data.isObject() && data["kind"].isString()) {
-        const auto& after = data["retry_after_ms"];
+        const auto& delay_ms = data["retry_after_ms"];
         return error{errc_from_string(data["kind"].asString()), object["message"].asString(),
-                     std::chrono::milliseconds{after.isInt64() ? after.asInt64() : 0}};
+                     std::chrono::milliseconds{delay_ms.isInt64() ? delay_ms.asInt64() : 0}};
     }
     const auto code = object["code"].asInt();
-    // Standard JSON-RPC refusals (parse error, unknown method, bad params) happen before any handler runs.
+    // Standard JSON-RPC errors (parse error, unknown method, invalid params) are raised before any handler runs.
     const bool refused = code <= invalid_request && code >= parse_error;
     return error{refused ? errc::bad_request : errc::outcome_unknown, object["message"].asString(), {}};
 }
@@ -59,7 +59,7 @@
             return fail(errc::bad_request, "not JSON: " + problem);
         }
     } catch (const Json::Exception& too_deep) {
-        // jsoncpp throws, rather than fails, on input nested past its stack limit.
+        // jsoncpp throws on input that is nested beyond its stack limit.
         return fail(errc::bad_request, std::string{"not JSON: "} + too_deep.what());
     }
     return value;
--- a/src/cornellever/rpc/envelope.hpp
+++ b/src/cornellever/rpc/envelope.hpp
@@ -10,36 +10,38 @@
 
 namespace cornellever::rpc {
 
-/// JSON-RPC 2.0 code for errors of the application; `data.kind` says which.
+/// JSON-RPC 2.0 code of application errors; `data.kind` has the `errc` name.
 inline constexpr int application_error = -32000;
 
-/// A decoded JSON-RPC 2.0 request.
+/// A JSON-RPC 2.0 request.
 struct request {
     Json::Value id;
     std::string method;
     Json::Value params;
 };
 
-/// Parses one request body; `bad_request` for anything not JSON-RPC 2.0.
+/// Parses a request body. Errors: `bad_request` when it is not a JSON-RPC 2.0
+/// request whose parameters, if any, are an object.
 [[nodiscard]] result<request> decode_request(std::string_view body);
 
-/// Encodes a call of `method` with `params` under `id`.
 [[nodiscard]] std::string encode_request(std::uint64_t id, std::string_view method, const Json::Value& params);
 
-/// Encodes the answer to the request `id`: its result or its error.
+/// Encodes the response to request `id`, with its result or its error.
 [[nodiscard]] std::string encode_response(const Json::Value& id, const result<Json::Value>& answer);
 
-/// Whether `answer`, a parsed body, answers the request `id`: a late or
-/// misdirected answer carries another id, a cut one does not parse.
+/// Whether `answer`, a parsed response body, is the response to request `id`.
+/// False for a late or misdirected response, which has another id, and for a
+/// truncated one, which does not parse.
 [[nodiscard]] bool is_response_to(const result<Json::Value>& answer, std::uint64_t id);
 
-/// The result inside an answer, or the error it carries.
+/// The result in a parsed response, or the error that it carries. A malformed
+/// error object counts as `outcome_unknown`.
 [[nodiscard]] result<Json::Value> decode_response(const Json::Value& answer);
 
-/// Compact one-line JSON text of `value`.
+/// Serializes `value` as JSON on a single line.
 [[nodiscard]] std::string to_text(const Json::Value& value);
 
-/// Parses JSON text; `bad_request` with the parser's message when it is not JSON.
+/// Parses JSON. Errors: `bad_request` with the parser's message.
 [[nodiscard]] result<Json::Value> parse_json(std::string_view text);
 
 } // namespace cornellever::rpc
--- a/src/cornellever/rpc/fields.hpp
+++ b/src/cornellever/rpc/fields.hpp
@@ -10,29 +10,30 @@
 
 namespace cornellever::rpc {
 
-// For what other processes say, whose odd content must not end a loop by an
-// exception: jsoncpp's own conversions throw for a number out of range.
+// Accessors for JSON received from other processes. jsoncpp's conversions throw
+// when a number is out of range; malformed input must not end the caller's loop
+// by an exception.
 
-/// The whole number in `object[name]`, from 0 to `most`; nothing when it is no
-/// object, or the field anything else.
+/// The integer `object[name]` when it is between 0 and `max_value`; `nullopt` when
+/// the field is missing or has another value, or `object` is not an object.
 [[nodiscard]] inline std::optional<std::uint64_t>
 optional_uint_field(const Json::Value& object, const char* name,
-                    std::uint64_t most = std::numeric_limits<std::uint64_t>::max()) {
-    if (!object.isObject() || !object[name].isUInt64() || object[name].asUInt64() > most) {
+                    std::uint64_t max_value = std::numeric_limits<std::uint64_t>::max()) {
+    if (!object.isObject() || !object[name].isUInt64() || object[name].asUInt64() > max_value) {
         return std::nullopt;
     }
     return object[name].asUInt64();
 }
 
-/// As `optional_uint_field`; 0 when there is none.
+/// As `optional_uint_field`, with 0 instead of `nullopt`.
 [[nodiscard]] inline std::uint64_t uint_field(const Json::Value& object, const char* name) {
     return optional_uint_field(object, name).value_or(0);
 }
 
-/// The milliseconds in `object[name]`, fractions cut off and at most a day;
-/// 0 when it is no object or the field no number from 0 up.
+/// The number `object[name]` as milliseconds, truncated to an integer and capped at
+/// 24 hours; 0 when it is negative, not a number or missing.
 [[nodiscard]] inline std::chrono::milliseconds ms_field(const Json::Value& object, const char* name) {
-    constexpr std::chrono::milliseconds longest = std::chrono::hours{24};
+    constexpr std::chrono::milliseconds max_duration = std::chrono::hours{24};
     if (!object.isObject() || !object[name].isNumeric()) {
         return std::chrono::milliseconds{0};
     }
@@ -40,11 +41,11 @@
     if (!(value > 0.0)) {
         return std::chrono::milliseconds{0};
     }
-    return value < static_cast<double>(longest.count()) ? std::chrono::milliseconds{static_cast<long long>(value)}
-                                                        : longest;
+    return value < static_cast<double>(max_duration.count()) ? std::chrono::milliseconds{static_cast<long long>(value)}
+                                                             : max_duration;
 }
 
-/// The text in `object[name]`; empty when there is none.
+/// The string `object[name]`; empty when it is missing or not a string.
 [[nodiscard]] inline std::string text_field(const Json::Value& object, const char* name) {
     if (!object.isObject() || !object[name].isString()) {
         return {};
--- a/src/cornellever/rpc/idle_timeout_read.hpp
+++ b/src/cornellever/rpc/idle_timeout_read.hpp
@@ -12,32 +12,33 @@
 
 namespace cornellever::rpc {
 
-/// A longer answer is refused.
+/// Longer HTTP responses are rejected.
 inline constexpr std::uint64_t max_answer_bytes = std::uint64_t{16} * 1024 * 1024;
 
-/// However slowly its pieces come, a message is given up after so long.
+/// Upper bound on the transfer of one message, even while data keeps arriving.
 inline constexpr std::chrono::seconds max_transfer_time{15};
 
-/// Reads an HTTP message of any length: its first piece by the time limit that
-/// `stream` has, each further one within `piece_limit` of the one before. A limit
-/// for the whole of a long message would end each transfer over a busy link just
-/// as it ends that from a silent peer, and begin it anew. Returns the bytes read.
+/// Reads an HTTP message and returns the number of bytes read. The first read is
+/// bounded by the expiry already set on `stream`, each later one by `idle_timeout`,
+/// and the whole message by `max_transfer_time`. A short limit for the whole
+/// message could not tell a slow transfer over a busy link from a silent peer:
+/// long messages would be aborted and restarted again and again.
 template <typename Parser>
 asio::awaitable<std::size_t> read_with_idle_timeout(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer,
-                                                    Parser& parser, std::chrono::milliseconds piece_limit,
+                                                    Parser& parser, std::chrono::milliseconds idle_timeout,
                                                     boost::system::error_code& ec) {
-    const auto until = boot_clock::now() + max_transfer_time;
-    std::size_t out = 0;
+    const auto deadline = boot_clock::now() + max_transfer_time;
+    std::size_t bytes_read = 0;
     parser.eager(true);
     while (!ec && !parser.is_done()) {
-        out += co_await boost::beast::http::async_read_some(stream, buffer, parser,
-                                                            asio::redirect_error(asio::use_awaitable, ec));
-        if (!ec && !parser.is_done() && boot_clock::now() >= until) {
+        bytes_read += co_await boost::beast::http::async_read_some(stream, buffer, parser,
+                                                                   asio::redirect_error(asio::use_awaitable, ec));
+        if (!ec && !parser.is_done() && boot_clock::now() >= deadline) {
             ec = asio::error::timed_out;
         }
-        stream.expires_after(piece_limit);
+        stream.expires_after(idle_timeout);
     }
-    co_return out;
+    co_return bytes_read;
 }
 
 } // namespace cornellever::rpc
--- a/src/cornellever/rpc/reconnecting_channel.hpp
+++ b/src/cornellever/rpc/reconnecting_channel.hpp
@@ -8,8 +8,8 @@
 
 namespace cornellever::rpc {
 
-/// A connection for calls made again and again: one that is left in doubt by
-/// a failed call is replaced, so that the next call starts on a fresh one.
+/// A channel for repeated calls to one peer. A connection that a failed call left
+/// unusable is replaced by a new one on the next call.
 class reconnecting_channel {
 public:
     reconnecting_channel(asio::any_io_executor executor, tcp::endpoint peer)
@@ -18,17 +18,17 @@
 
     /// As `channel::call`.
     asio::awaitable<result<Json::Value>> call(std::string_view method, const Json::Value& params,
-                                              std::chrono::milliseconds deadline) {
-        if (!m_link || !m_link->usable()) {
-            m_link = std::make_unique<channel>(m_executor, m_peer);
+                                              std::chrono::milliseconds time_limit) {
+        if (!m_channel || !m_channel->usable()) {
+            m_channel = std::make_unique<channel>(m_executor, m_peer);
         }
-        co_return co_await m_link->call(method, params, deadline);
+        co_return co_await m_channel->call(method, params, time_limit);
     }
 
 private:
     asio::any_io_executor m_executor;
     tcp::endpoint m_peer;
-    std::unique_ptr<channel> m_link;
+    std::unique_ptr<channel> m_channel;
 };
 
 } // namespace cornellever::rpc
--- a/src/cornellever/rpc/server.cpp
+++ b/src/cornellever/rpc/server.cpp
@@ -21,25 +21,25 @@
 
 server::server(const asio::any_io_executor& executor) : m_executor{executor}, m_acceptor{executor} {}
 
-void server::on(std::string method, handler call) {
-    m_handlers[std::move(method)] = std::move(call);
+void server::on(std::string method, handler method_handler) {
+    m_handlers[std::move(method)] = std::move(method_handler);
 }
 
-result<tcp::endpoint> server::listen(const tcp::endpoint& where) {
+result<tcp::endpoint> server::listen(const tcp::endpoint& listen_address) {
     boost::system::error_code ec;
-    m_acceptor.open(where.protocol(), ec);
+    m_acceptor.open(listen_address.protocol(), ec);
     if (!ec) {
         m_acceptor.set_option(asio::socket_base::reuse_address{true}, ec);
     }
     if (!ec) {
-        m_acceptor.bind(where, ec);
+        m_acceptor.bind(listen_address, ec);
     }
     if (!ec) {
         m_acceptor.listen(asio::socket_base::max_listen_connections, ec);
     }
     if (ec) {
-        return fail(errc::unavailable, "cannot listen on " + where.address().to_string() + ":" +
-                                           std::to_string(where.port()) + ": " + ec.message());
+        return fail(errc::unavailable, "cannot listen on " + listen_address.address().to_string() + ":" +
+                                           std::to_string(listen_address.port()) + ": " + ec.message());
     }
     return m_acceptor.local_endpoint();
 }
@@ -83,12 +83,12 @@
         if (ec) {
             co_return;
         }
-        // Held until the answer is written: a planned stop waits for it.
+        // Covers the writing of the answer: a planned stop waits until no request is in flight.
         scoped_increment busy{m_in_flight};
         auto request = parser.release();
         auto body = co_await dispatch(request.body(), conn);
         if (conn.stop_answering) {
-            // Hold the connection open and unread until the peer gives up.
+            // Keep the connection open, without reading from it, until the peer times out.
             asio::steady_timer forever{m_executor, std::chrono::hours{24}};
             co_await forever.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             co_return;
@@ -98,18 +98,18 @@
         }
         http::response<http::string_body> response{http::status::ok, request.version()};
         response.set(http::field::content_type, "application/json");
-        const bool stays = request.keep_alive() && !m_draining;
-        response.keep_alive(stays);
+        const bool keep_open = request.keep_alive() && !m_draining;
+        response.keep_alive(keep_open);
         response.body() = std::move(body);
         response.prepare_payload();
         if (conn.release_after_write) {
-            // A peer that reads no more must not hold it for ever.
+            // Bounds how long a peer that has stopped reading can delay the release.
             stream.expires_after(max_transfer_time);
         }
         co_await http::async_write(stream, response, asio::redirect_error(asio::use_awaitable, ec));
         stream.expires_never();
         conn.release_after_write.reset();
-        if (ec || !stays) {
+        if (ec || !keep_open) {
             co_return;
         }
     }
@@ -129,12 +129,12 @@
     co_return encode_response(decoded->id, answer);
 }
 
-asio::awaitable<result<Json::Value>> server::run(const handler& call, const Json::Value& params, connection& conn) {
-    // jsoncpp throws when a field has another type than the one asked for.
-    // One caller's odd input must cost that caller an error, never the
-    // process and with it everybody else's requests.
+asio::awaitable<result<Json::Value>> server::run(const handler& method_handler, const Json::Value& params,
+                                                 connection& conn) {
+    // jsoncpp throws when a field has another type than expected. Malformed
+    // input must fail only its own request, not terminate the process.
     try {
-        co_return co_await call(params, conn);
+        co_return co_await method_handler(params, conn);
     } catch (const std::exception& problem) {
         log_event(event::rpc_bad_request, "reason=\"" + std::string{problem.what()} + "\"");
         co_return fail(errc::internal, std::string{"the request could not be handled: "} + problem.what());
--- a/src/cornellever/rpc/server.hpp
+++ b/src/cornellever/rpc/server.hpp
@@ -14,68 +14,67 @@
 
 namespace cornellever::rpc {
 
-/// What a role keeps per accepted connection, such as a backend's open
+/// Base of the state that handlers keep per connection, such as an open
 /// transaction; destroyed when the connection closes.
 struct connection_state {
     virtual ~connection_state() = default;
 };
 
-/// One accepted connection as handlers see it.
+/// An accepted connection, as passed to handlers.
 struct connection {
     std::uint64_t id{0};
     tcp::endpoint peer;
     std::unique_ptr<connection_state> state;
-    /// Set by a handler to stop answering on this connection for good while
-    /// keeping it open (the stand-ins' "silent connection" fault).
+    /// Set by a handler to keep the connection open without ever answering on it
+    /// again; fault injection in stand-in servers.
     bool stop_answering{false};
-    /// Set by a handler to close the connection without sending the answer
-    /// (the stand-ins' "answer lost after the change took effect" fault).
+    /// Set by a handler to close the connection without sending the answer of a
+    /// request that took effect; fault injection in stand-in servers.
     bool drop_answer{false};
-    /// What a handler holds until its answer is written.
+    /// Set by a handler to an object to be released once its answer is written.
     std::shared_ptr<void> release_after_write;
 };
 
-/// A handler of one method: takes the params object, yields the result.
+/// Handles the calls of one method; gets the params object.
 using handler = std::function<asio::awaitable<result<Json::Value>>(const Json::Value&, connection&)>;
 
-/// JSON-RPC 2.0 over HTTP/1.1 keep-alive. Each connection answers its
-/// requests in order, one at a time; connections run concurrently.
+/// A JSON-RPC 2.0 server over HTTP/1.1 with keep-alive. The requests of one
+/// connection are handled one at a time, in order; connections are concurrent.
 class server {
 public:
-    /// A server on `executor`; nothing is bound until `listen`.
+    /// Nothing is bound before `listen`.
     explicit server(const asio::any_io_executor& executor);
 
-    /// Registers the handler of `method`; a later call replaces it.
-    void on(std::string method, handler call);
+    /// Registers the handler of `method`, or replaces it.
+    void on(std::string method, handler method_handler);
 
-    /// Binds and listens on `where`; `unavailable` when the address is taken.
-    [[nodiscard]] result<tcp::endpoint> listen(const tcp::endpoint& where);
+    /// Binds and listens, and returns the bound address. Errors: `unavailable`
+    /// when the address cannot be bound.
+    [[nodiscard]] result<tcp::endpoint> listen(const tcp::endpoint& listen_address);
 
-    /// Starts accepting connections.
     void start();
 
-    /// Stops accepting new connections; open ones go on.
+    /// Stops accepting new connections; open ones are still served.
     void stop_accepting();
 
-    /// From now on every answer tells the peer to take its next request
-    /// elsewhere (HTTP `Connection: close`), so that a planned stop empties
-    /// connections between requests and never in the middle of one.
+    /// Closes every connection after its next response, which carries HTTP
+    /// `Connection: close`: clients reconnect elsewhere between two requests, and
+    /// a planned stop interrupts no request.
     void drain() { m_draining = true; }
 
-    /// True once `drain` was called.
     [[nodiscard]] bool draining() const noexcept { return m_draining; }
 
-    /// Requests being handled right now.
+    /// The number of requests received but not yet answered.
     [[nodiscard]] std::size_t in_flight() const noexcept { return m_in_flight; }
 
-    /// Connections open right now.
     [[nodiscard]] std::size_t open_connections() const noexcept { return m_open; }
 
 private:
     asio::awaitable<void> accept_loop();
     asio::awaitable<void> serve(tcp::socket socket);
     asio::awaitable<std::string> dispatch(std::string_view body, connection& conn);
-    asio::awaitable<result<Json::Value>> run(const handler& call, const Json::Value& params, connection& conn);
+    asio::awaitable<result<Json::Value>> run(const handler& method_handler, const Json::Value& params,
+                                             connection& conn);
 
     asio::any_io_executor m_executor;
     tcp::acceptor m_acceptor;
--- a/tests/unit/channel.cpp
+++ b/tests/unit/channel.cpp
@@ -10,36 +10,36 @@
 
 namespace {
 
-std::string answer_to(const std::string& body, int shift = 0) {
+std::string answer_to(const std::string& body, int id_offset = 0) {
     const auto id = rpc::parse_json(body).value()["id"].asInt64();
-    return fake_peer::http(rpc::encode_response(Json::Value{Json::Int64{id + shift}}, Json::Value{"for you"}));
+    return fake_peer::http(rpc::encode_response(Json::Value{Json::Int64{id + id_offset}}, Json::Value{"for you"}));
 }
 
 } // namespace
 
-// Answers come out of order: the second caller of a pooled connection is
-// sent the answer to the first one's request. It must not be taken for its
-// own, and the connection must not be used again, or every later caller
-// would get its predecessor's answer.
-BOOST_AUTO_TEST_CASE(an_answer_to_another_request_breaks_the_connection) {
+// Guards against pairing responses with the wrong requests: the second caller of
+// a pooled connection receives the response to the first caller's request. It
+// must get an error, and the connection must not be used again, since every
+// later caller would receive the response of the one before.
+BOOST_AUTO_TEST_CASE(response_to_another_request_breaks_the_connection) {
     asio::io_context io;
     fake_peer peer{io,
                    [](std::size_t number, const std::string& body) { return answer_to(body, number == 0 ? 0 : -1); }};
     run_coroutine(io, [&]() -> asio::awaitable<void> {
         rpc::channel link{io.get_executor(), peer.address()};
-        const Json::Value none{Json::objectValue};
-        auto own = co_await link.call("first", none, 500ms);
+        const Json::Value no_params{Json::objectValue};
+        auto own = co_await link.call("first", no_params, 500ms);
         BOOST_TEST(own.has_value());
-        auto foreign = co_await link.call("second", none, 500ms);
+        auto foreign = co_await link.call("second", no_params, 500ms);
         BOOST_REQUIRE(!foreign.has_value());
         BOOST_TEST((foreign.error().code == errc::outcome_unknown));
         BOOST_TEST(!link.usable());
     });
 }
 
-// The answer is cut off in the middle. The caller gets no half answer: the
-// request may have run, and that is what it is told.
-BOOST_AUTO_TEST_CASE(half_an_answer_is_no_answer) {
+// The response is truncated. The caller must get no partial result but
+// `outcome_unknown`, since the request may have been executed.
+BOOST_AUTO_TEST_CASE(truncated_response_leaves_the_outcome_unknown) {
     asio::io_context io;
     fake_peer peer{io, [](std::size_t, const std::string&) {
                        return fake_peer::http(R"({"id":1,"jsonrpc":"2.0","result":{"rows":[)", 4000);
@@ -53,8 +53,8 @@
     });
 }
 
-// The answer is whole JSON but no answer, or an error without its parts.
-BOOST_AUTO_TEST_CASE(malformed_answers_leave_the_outcome_unknown) {
+// The body is valid JSON but not a response, or its error object is incomplete.
+BOOST_AUTO_TEST_CASE(malformed_responses_leave_the_outcome_unknown) {
     for (const auto* text : {"[]", "7", "{}", R"({"id":"1","result":1})", R"({"id":1,"error":"odd"})",
                              R"({"id":1,"error":{"code":"x","message":3}})"}) {
         asio::io_context io;
@@ -68,9 +68,9 @@
     }
 }
 
-// The backend closed an idle pooled connection. Sending on it would leave a
-// request in doubt that was never going to run.
-BOOST_AUTO_TEST_CASE(a_connection_closed_while_idle_shows_as_stale) {
+// The peer closes an idle pooled connection. A request sent on it would end with
+// `outcome_unknown` although it is never executed.
+BOOST_AUTO_TEST_CASE(connection_closed_while_idle_is_stale) {
     asio::io_context io;
     tcp::acceptor acceptor{io, tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0}};
     run_coroutine(io, [&]() -> asio::awaitable<void> {
@@ -94,7 +94,7 @@
     });
 }
 
-// Input that jsoncpp refuses by exception, not by error.
+// jsoncpp throws on input that is nested too deeply, instead of returning an error.
 BOOST_AUTO_TEST_CASE(deeply_nested_input_is_an_error) {
     BOOST_TEST(!rpc::decode_request(std::string(5000, '[')).has_value());
 }
--- a/tests/unit/fake_peer.hpp
+++ b/tests/unit/fake_peer.hpp
@@ -7,7 +7,7 @@
 
 namespace cornellever::test {
 
-/// Runs one coroutine to its end on a loop of its own.
+/// Runs `io` until the coroutine has finished and rethrows its exception.
 template <typename Body>
 void run_coroutine(asio::io_context& io, Body body) {
     std::exception_ptr thrown;
@@ -21,9 +21,9 @@
     }
 }
 
-/// A peer that answers each HTTP request on a connection with whatever bytes
-/// the test says: `reply` gets the number of the request on that connection
-/// (from 0) and the request's body; no bytes means no answer.
+/// An HTTP server whose responses, as raw bytes, are chosen by the test. `reply`
+/// gets the number of the request on its connection, from 0, and the request's
+/// body; it returns an empty string to send nothing.
 class fake_peer {
 public:
     using reply = std::function<std::string(std::size_t, const std::string&)>;
@@ -36,10 +36,10 @@
 
     [[nodiscard]] tcp::endpoint address() const { return m_acceptor.local_endpoint(); }
 
-    /// Connections accepted so far.
     [[nodiscard]] std::size_t connections() const noexcept { return m_connections; }
 
-    /// An HTTP answer with `body`; `length` overrides the announced length.
+    /// An HTTP response with `body`; a `length` other than 0 replaces the
+    /// `Content-Length`.
     [[nodiscard]] static std::string http(const std::string& body, std::size_t length = 0) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(length == 0 ? body.size() : length) + "\r\n\r\n" +
                body;
