--- a/src/cornellever/ctl/apply.cpp
+++ b/src/cornellever/ctl/apply.cpp
@@ -11,32 +11,33 @@
 
 namespace {
 
-constexpr auto deadline = std::chrono::milliseconds{3000};
-constexpr auto poll = std::chrono::milliseconds{20};
+constexpr auto call_timeout = std::chrono::milliseconds{3000};
+constexpr auto poll_interval = std::chrono::milliseconds{20};
 
 result<Json::Value> read_row(const tcp::endpoint& platform) {
     Json::Value params;
     params["key"] = std::string{proxy::config_row};
-    return rpc::call_blocking(platform, "table.get", params, deadline);
+    return rpc::call_blocking(platform, "table.get", params, call_timeout);
 }
 
-result<void> check_base(std::uint64_t applied, std::optional<change_base> base) {
-    const bool nothing_to_overwrite = applied == 0 && !(base && base->named);
+result<void> check_base(std::uint64_t applied, std::optional<expected_base> base) {
+    const bool nothing_to_overwrite = applied == 0 && !(base && base->from_command_line);
     if (nothing_to_overwrite || (base && base->version == applied)) {
         return {};
     }
-    const auto now = "version " + std::to_string(applied) + " is applied";
+    const auto applied_text = "version " + std::to_string(applied) + " is applied";
     if (!base) {
-        return fail(errc::conflict, now + ", and this folder does not say which version it was changed from: "
-                                          "fetch the applied one, or name it with --expect-version");
+        return fail(errc::conflict, applied_text + ", and this folder does not say which version it was changed from: "
+                                                   "fetch the applied one, or name it with --expect-version");
     }
-    return fail(errc::conflict, now + ", but this folder was changed from version " + std::to_string(base->version));
+    return fail(errc::conflict,
+                applied_text + ", but this folder was changed from version " + std::to_string(base->version));
 }
 
 } // namespace
 
 result<std::uint64_t> apply(const tcp::endpoint& platform, const config::cluster& config,
-                            std::optional<change_base> base) {
+                            std::optional<expected_base> base) {
     std::uint64_t applied = 0;
     auto current = read_row(platform);
     if (current) {
@@ -52,15 +53,15 @@
     params["key"] = std::string{proxy::config_row};
     params["value"] = value;
     params["expected_version"] = static_cast<Json::UInt64>(applied);
-    auto written = rpc::call_blocking(platform, "table.put", params, deadline);
+    auto written = rpc::call_blocking(platform, "table.put", params, call_timeout);
     if (written) {
         return (*written)["version"].asUInt64();
     }
     if (written.error().code != errc::outcome_unknown) {
         return std::unexpected{written.error()};
     }
-    // The answer was lost: the write may have taken effect. Read the row
-    // back; our value one version on means it did.
+    // The write may have taken effect. It did if the row now has the written
+    // value at the next version.
     auto after = read_row(platform);
     if (after && (*after)["version"].asUInt64() == applied + 1 && (*after)["value"] == value) {
         return applied + 1;
@@ -85,15 +86,15 @@
 }
 
 result<std::uint64_t> version_in_force(const tcp::endpoint& proxy) {
-    auto dump = rpc::call_blocking(proxy, "dump", Json::Value{Json::objectValue}, deadline);
+    auto dump = rpc::call_blocking(proxy, "dump", Json::Value{Json::objectValue}, call_timeout);
     if (!dump) {
         return std::unexpected{dump.error()};
     }
     return (*dump)["config_version"].asUInt64();
 }
 
-result<std::chrono::milliseconds> await_in_force(std::span<const tcp::endpoint> proxies, std::uint64_t version,
-                                                 std::chrono::milliseconds limit) {
+result<std::chrono::milliseconds> wait_until_in_force(std::span<const tcp::endpoint> proxies, std::uint64_t version,
+                                                      std::chrono::milliseconds timeout) {
     using clock = std::chrono::steady_clock;
     const auto started = clock::now();
     for (const auto& proxy : proxies) {
@@ -102,11 +103,11 @@
             if (in_force && *in_force >= version) {
                 break;
             }
-            if (clock::now() - started > limit) {
+            if (clock::now() - started > timeout) {
                 return fail(errc::unavailable, "proxy " + to_string(proxy) + " does not have version " +
                                                    std::to_string(version) + " in force yet");
             }
-            std::this_thread::sleep_for(poll);
+            std::this_thread::sleep_for(poll_interval);
         }
     }
     return std::chrono::duration_cast<std::chrono::milliseconds>(clock::now() - started);
--- a/src/cornellever/ctl/apply.hpp
+++ b/src/cornellever/ctl/apply.hpp
@@ -11,33 +11,33 @@
 
 namespace cornellever::ctl {
 
-/// The version a configuration was changed from.
-struct change_base {
+/// The version that the operator's configuration was derived from.
+struct expected_base {
     std::uint64_t version{0};
-    /// Named on the command line, rather than read from the folder. A folder
-    /// may go to a platform that has no configuration yet, whatever it says.
-    bool named{false};
+    /// Given on the command line rather than read from the folder. The version in
+    /// the folder is ignored when the platform has no configuration yet.
+    bool from_command_line{false};
 };
 
-/// Writes `config` to the platform's table by compare-and-set over version
-/// `base`, the one the operator changed; none is needed for the first. An answer
-/// lost after the write took effect is recognised by reading the row back.
-/// Errors: `conflict` when another version is applied, or one is and `base`
-/// is not given; `unavailable` when the platform did not answer.
+/// Writes `config` to the platform's table and returns its new version. The write
+/// is a compare-and-set on the applied version, which must be `base`; the first
+/// configuration needs no base. When the answer is lost, the row is read back to
+/// find out whether the write took effect. Errors: `conflict` when the applied
+/// version is not `base` or, with a version applied, no `base` is given;
+/// `unavailable` when the platform does not answer.
 [[nodiscard]] result<std::uint64_t> apply(const tcp::endpoint& platform, const config::cluster& config,
-                                          std::optional<change_base> base);
+                                          std::optional<expected_base> base);
 
-/// The applied configuration with its version. Errors: `not_found` when
-/// none was ever applied; `unavailable`.
+/// Reads the applied configuration and its version. Errors: `not_found` when none
+/// was ever applied; `unavailable`.
 [[nodiscard]] result<config::cluster> fetch(const tcp::endpoint& platform);
 
-/// The version a proxy has in force. Errors: those of the call.
+/// The configuration version that a proxy uses. Errors: those of the call.
 [[nodiscard]] result<std::uint64_t> version_in_force(const tcp::endpoint& proxy);
 
-/// Waits until every proxy has at least `version` in force, and returns how
-/// long that took. Errors: `unavailable` naming the proxy that had not after
-/// `limit`.
-[[nodiscard]] result<std::chrono::milliseconds> await_in_force(std::span<const tcp::endpoint> proxies,
-                                                               std::uint64_t version, std::chrono::milliseconds limit);
+/// Waits until every proxy uses at least `version` and returns the time that took.
+/// Errors: `unavailable`, naming a proxy that did not within `timeout`.
+[[nodiscard]] result<std::chrono::milliseconds>
+wait_until_in_force(std::span<const tcp::endpoint> proxies, std::uint64_t version, std::chrono::milliseconds timeout);
 
 } // namespace cornellever::ctl
--- a/src/cornellever/ctl/base_version.cpp
+++ b/src/cornellever/ctl/base_version.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-std::optional<std::uint64_t> read_base(const std::filesystem::path& folder) {
+std::optional<std::uint64_t> read_base_version(const std::filesystem::path& folder) {
     std::ifstream in{folder / base_file};
     std::uint64_t version = 0;
     if (!(in >> version)) {
@@ -19,7 +19,7 @@
     return version;
 }
 
-result<void> write_base(const std::filesystem::path& folder, std::uint64_t version) {
+result<void> write_base_version(const std::filesystem::path& folder, std::uint64_t version) {
     std::ofstream out{folder / base_file, std::ios::trunc};
     out << version << "\n";
     out.flush();
--- a/src/cornellever/ctl/base_version.hpp
+++ b/src/cornellever/ctl/base_version.hpp
@@ -8,11 +8,12 @@
 
 namespace cornellever::ctl {
 
-/// The version a configuration folder was made from, kept in the folder's
-/// file `.applied`: `fetch` and `apply` write it, the next `apply` expects it.
-[[nodiscard]] std::optional<std::uint64_t> read_base(const std::filesystem::path& folder);
+/// Reads the configuration version that a folder is based on from its file
+/// `.applied`; `nullopt` when there is none. `fetch` and `apply` write that file,
+/// and the next `apply` expects the version to be still applied.
+[[nodiscard]] std::optional<std::uint64_t> read_base_version(const std::filesystem::path& folder);
 
-/// Notes that `folder` now is version `version`. Errors: `internal`.
-[[nodiscard]] result<void> write_base(const std::filesystem::path& folder, std::uint64_t version);
+/// Writes `.applied`. Errors: `internal` when the file cannot be written.
+[[nodiscard]] result<void> write_base_version(const std::filesystem::path& folder, std::uint64_t version);
 
 } // namespace cornellever::ctl
--- a/src/cornellever/ctl/explain.hpp
+++ b/src/cornellever/ctl/explain.hpp
@@ -7,22 +7,22 @@
 
 namespace cornellever::ctl {
 
-/// A log line that tells of a request.
+/// A log line about a request.
 struct request_line {
-    /// The file it stands in, and its number there.
     std::string file;
+    /// Line number in the file, from 1.
     std::size_t number{0};
     std::string text;
-    /// Whether it decided the request's outcome.
-    bool deciding{false};
+    /// Whether this line reports the outcome of the request.
+    bool decisive{false};
 };
 
-/// Adds the lines of `log` that name the request, in their order.
-void collect_lines(std::string_view request, const std::string& file, std::string_view log,
-                   std::vector<request_line>& into);
+/// Appends the lines of `log`, the content of `file`, that have the request's id.
+void collect_request_lines(std::string_view request, const std::string& file, std::string_view log,
+                           std::vector<request_line>& into);
 
-/// Puts the lines of all logs in the order of their times and marks the one
-/// that decided: the last that says how the request ended.
-void order_lines(std::vector<request_line>& lines);
+/// Sorts the lines of all logs by time and marks as decisive the last one that
+/// reports how the request ended.
+void sort_request_lines(std::vector<request_line>& lines);
 
 } // namespace cornellever::ctl
--- a/src/cornellever/ctl/log_line.hpp
+++ b/src/cornellever/ctl/log_line.hpp
@@ -7,27 +7,27 @@
 
 namespace cornellever::ctl {
 
-/// A line of a process's log, taken apart. Views into the line.
+/// A parsed log line of an event; all members are views into the line.
 struct log_line {
-    /// Date, T and clock time with milliseconds.
-    std::string_view time;
-    /// The event's name in the catalogue.
+    /// ISO 8601 date and time with milliseconds.
+    std::string_view timestamp;
+    /// The event's name, such as `request.served`.
     std::string_view event;
     std::map<std::string_view, std::string_view> fields;
 
-    /// The value of a field; empty when the line has none of that name.
+    /// The value of a field; empty when it is missing.
     [[nodiscard]] std::string_view field(std::string_view name) const;
 
-    /// A field that counts milliseconds; 0 when it is missing or no number.
+    /// The value of a field in milliseconds; 0 when it is missing or not a number.
     [[nodiscard]] long long milliseconds(std::string_view name) const;
 };
 
-/// The time of a line, whatever a collector of logs wrote before it; empty when
-/// the line has none.
-[[nodiscard]] std::string_view time_of(std::string_view line);
+/// Finds the timestamp of a line, which may follow a prefix written by a log
+/// collector; empty when there is none.
+[[nodiscard]] std::string_view timestamp_of(std::string_view line);
 
-/// Nothing for a line that is none of an event. A value goes to the next
-/// `name=`, or stands in quotes.
+/// Parses a line; `nullopt` when it is not that of an event. A field's value is
+/// quoted, or extends to the next ` name=`.
 [[nodiscard]] std::optional<log_line> parse_log_line(std::string_view line);
 
 } // namespace cornellever::ctl
--- a/src/cornellever/ctl/losses.cpp
+++ b/src/cornellever/ctl/losses.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-constexpr std::size_t second_size = 19;
+/// Length of a timestamp without milliseconds.
+constexpr std::size_t length_to_second = 19;
 
-/// A reason's words, without the time to come back that follows them.
-std::string words_of(std::string_view reason) {
+/// The reason without the retry hint that may follow a semicolon.
+std::string without_retry_hint(std::string_view reason) {
     return std::string{reason.substr(0, reason.find(';'))};
 }
 
@@ -18,8 +19,8 @@
     if (reason.starts_with("owner_gone")) {
         return loss_place::relay;
     }
-    const bool held_long = line.milliseconds("age_ms") > line.milliseconds("aim_ms");
-    if (reason.starts_with("the path to the primary") || (line.milliseconds("aim_ms") > 0 && held_long)) {
+    const bool past_target = line.milliseconds("age_ms") > line.milliseconds("aim_ms");
+    if (reason.starts_with("the path to the primary") || (line.milliseconds("aim_ms") > 0 && past_target)) {
         return loss_place::no_primary;
     }
     return loss_place::queue;
@@ -27,8 +28,8 @@
 
 } // namespace
 
-std::string_view to_string(loss_place where) noexcept {
-    switch (where) {
+std::string_view to_string(loss_place place) noexcept {
+    switch (place) {
     case loss_place::opening:
         return "opening";
     case loss_place::queue:
@@ -51,55 +52,56 @@
     longest_ms = std::max(longest_ms, waited);
 }
 
-void loss_table::take(std::string_view log) {
+void loss_table::add_log(std::string_view log) {
     while (!log.empty()) {
         const auto end = log.find('\n');
         if (const auto line = parse_log_line(log.substr(0, end))) {
-            take_line(*line);
+            add_line(*line);
         }
         log = end == std::string_view::npos ? std::string_view{} : log.substr(end + 1);
     }
 }
 
-void loss_table::take_line(const log_line& line) {
+void loss_table::add_line(const log_line& line) {
     const auto reason = line.field("reason");
-    const bool relayed = reason == "owner_gone";
+    const bool at_relay = reason == "owner_gone";
     if (line.event == "request.served") {
         const auto age = line.milliseconds("age_ms");
-        const auto aim = line.milliseconds("aim_ms");
-        if (aim > 0 && age > aim) {
+        const auto target = line.milliseconds("aim_ms");
+        if (target > 0 && age > target) {
             const bool at_server = 2 * line.milliseconds("ran_ms") >= age;
             add(line, at_server ? loss_place::server : loss_place::queue, "late", true);
         }
     } else if (line.event == "request.refused") {
-        add(line, place_of_refusal(line), "refused: " + words_of(reason), true);
+        add(line, place_of_refusal(line), "refused: " + without_retry_hint(reason), true);
     } else if (line.event == "request.outcome_unknown") {
-        add(line, relayed ? loss_place::relay : loss_place::server, "outcome unknown: " + words_of(reason), true);
+        add(line, at_relay ? loss_place::relay : loss_place::server, "outcome unknown: " + without_retry_hint(reason),
+            true);
     } else if (line.event == "transaction.failed") {
-        add(line, loss_place::server, "transaction failed: " + words_of(reason), true);
+        add(line, loss_place::server, "transaction failed: " + without_retry_hint(reason), true);
     } else if (line.event == "request.retried") {
         const auto words = reason.substr(0, reason.find(' '));
-        add(line, relayed ? loss_place::relay : loss_place::server, "tried again: " + std::string{words}, false);
+        add(line, at_relay ? loss_place::relay : loss_place::server, "retried: " + std::string{words}, false);
     } else if (line.event == "limit.refused" || line.event == "request.forbidden") {
         add(line, loss_place::account, "refused: " + std::string{reason.substr(0, reason.find(' '))}, true);
     } else if (line.event == "session.refused" && reason != "no_such_database" && reason != "unknown_key") {
-        add(line, loss_place::opening, "refused: " + words_of(reason), true);
+        add(line, loss_place::opening, "refused: " + without_retry_hint(reason), true);
     }
 }
 
-void loss_table::add(const log_line& line, loss_place where, std::string reason, bool final) {
+void loss_table::add(const log_line& line, loss_place place, std::string reason, bool final) {
     const auto service = line.field("service").empty() ? line.field("database") : line.field("service");
     const auto waited = line.milliseconds("age_ms");
-    m_kinds[{where, std::move(reason), std::string{service}}].add(waited);
-    if (final && line.time.size() >= second_size) {
-        m_seconds[std::string{line.time.substr(0, second_size)}].add(waited);
+    m_counts[{place, std::move(reason), std::string{service}}].add(waited);
+    if (final && line.timestamp.size() >= length_to_second) {
+        m_per_second[std::string{line.timestamp.substr(0, length_to_second)}].add(waited);
     }
 }
 
 std::vector<loss_table::row> loss_table::rows() const {
     std::vector<row> out;
-    for (const auto& [kind, count] : m_kinds) {
-        out.push_back({kind, count});
+    for (const auto& [group, count] : m_counts) {
+        out.push_back({group, count});
     }
     std::ranges::stable_sort(out, std::greater{}, [](const row& item) { return item.count.requests; });
     return out;
--- a/src/cornellever/ctl/losses.hpp
+++ b/src/cornellever/ctl/losses.hpp
@@ -11,55 +11,61 @@
 
 namespace cornellever::ctl {
 
-/// Where a request lost its time or its answer.
+/// The stage at which a request failed or was delayed: opening its session,
+/// waiting for a connection, waiting for a primary, the relay to another proxy,
+/// the backend server, or the limits and keys of its client account.
 enum class loss_place { opening, queue, no_primary, relay, server, account };
 
-[[nodiscard]] std::string_view to_string(loss_place where) noexcept;
+[[nodiscard]] std::string_view to_string(loss_place place) noexcept;
 
-/// What the requests of one row have in common.
-struct loss_kind {
-    loss_place where{loss_place::queue};
+/// The grouping key of the counts.
+struct loss_group {
+    loss_place place{loss_place::queue};
     std::string reason;
-    /// Or the database, where a line does not tell the service.
+    /// The database instead when the log line has no service.
     std::string service;
 
-    friend auto operator<=>(const loss_kind&, const loss_kind&) = default;
+    friend auto operator<=>(const loss_group&, const loss_group&) = default;
 };
 
 struct loss_count {
     std::uint64_t requests{0};
+    /// Sum of the requests' ages in milliseconds.
     long long waited_ms{0};
     long long longest_ms{0};
 
     void add(long long waited);
 };
 
-/// Counts, from the logs of one proxy or many, the requests that were refused,
-/// failed or answered later than their callers aim at, and the tries that a
-/// server or another proxy turned down.
+/// Counts, from the logs of one or more proxies, the requests that were refused,
+/// failed or exceeded their latency target, and the attempts that failed at a
+/// server or another proxy and were retried.
 class loss_table {
 public:
     struct row {
-        loss_kind kind;
+        loss_group group;
         loss_count count;
     };
 
-    /// Takes a whole log, line by line.
-    void take(std::string_view log);
+    /// Adds all lines of a log.
+    void add_log(std::string_view log);
 
-    /// Most requests first.
+    /// The counts by group, the largest first.
     [[nodiscard]] std::vector<row> rows() const;
 
-    /// By second, as the log writes it, all kinds together; tries that another
-    /// one followed are left out.
-    [[nodiscard]] const std::map<std::string, loss_count, std::less<>>& seconds() const noexcept { return m_seconds; }
+    /// The counts of all groups by second, as a timestamp without milliseconds;
+    /// attempts that were retried are not included.
+    [[nodiscard]] const std::map<std::string, loss_count, std::less<>>& per_second() const noexcept {
+        return m_per_second;
+    }
 
 private:
-    void take_line(const log_line& line);
-    void add(const log_line& line, loss_place where, std::string reason, bool final);
+    void add_line(const log_line& line);
+    /// `final` is false for an attempt that was retried.
+    void add(const log_line& line, loss_place place, std::string reason, bool final);
 
-    std::map<loss_kind, loss_count> m_kinds;
-    std::map<std::string, loss_count, std::less<>> m_seconds;
+    std::map<loss_group, loss_count> m_counts;
+    std::map<std::string, loss_count, std::less<>> m_per_second;
 };
 
 } // namespace cornellever::ctl
--- a/src/cornellever/ctl/main.cpp
+++ b/src/cornellever/ctl/main.cpp
@@ -24,10 +24,9 @@
 
 namespace {
 
-constexpr auto call_deadline = std::chrono::milliseconds{5000};
-constexpr auto in_force_limit = std::chrono::milliseconds{10'000};
+constexpr auto call_timeout = std::chrono::milliseconds{5000};
+constexpr auto in_force_timeout = std::chrono::milliseconds{10'000};
 
-/// Exit statuses of `ctl`.
 enum exit_status : int { ok = 0, refused = 1, usage = 2, unreachable = 3 };
 
 std::size_t count_instances(const config::cluster& config) {
@@ -55,8 +54,8 @@
 }
 
 int print_call(const std::string& address, const std::string& method, const std::string& params_text) {
-    tcp::endpoint where;
-    if (!parse_endpoint(address, where)) {
+    tcp::endpoint peer;
+    if (!parse_endpoint(address, peer)) {
         std::fprintf(stderr, "'%s' is not IP:PORT\n", address.c_str());
         return usage;
     }
@@ -65,7 +64,7 @@
         std::fprintf(stderr, "params: %s\n", params.error().message.c_str());
         return usage;
     }
-    auto answer = rpc::call_blocking(where, method, *params, call_deadline);
+    auto answer = rpc::call_blocking(peer, method, *params, call_timeout);
     if (!answer) {
         std::printf("%s: %s\n", std::string{to_string(answer.error().code)}.c_str(), answer.error().message.c_str());
         return answer.error().code == errc::unavailable ? unreachable : refused;
@@ -74,7 +73,7 @@
     return ok;
 }
 
-/// Prints a refusal of the platform and says what to do about a conflict.
+/// Prints an error of the platform, for a conflict with the way to resolve it.
 int print_refusal(const error& refusal) {
     std::printf("refused (%s): %s\n", std::string{to_string(refusal.code)}.c_str(), refusal.message.c_str());
     if (refusal.code == errc::conflict) {
@@ -84,8 +83,8 @@
     return refusal.code == errc::unavailable ? unreachable : refused;
 }
 
-/// Checks a settings file of the role `serve`; a settings template is checked
-/// with every placeholder standing for an address.
+/// Checks a settings file or template of the role `serve`; the placeholders of a
+/// template are replaced by addresses.
 int run_check_settings(const std::string& name) {
     std::ifstream file{name};
     if (!file) {
@@ -102,7 +101,7 @@
     return findings.empty() ? ok : refused;
 }
 
-/// What `apply` was told on the command line.
+/// Command-line options of `apply`.
 struct apply_options {
     std::string folder;
     tcp::endpoint platform;
@@ -115,31 +114,31 @@
     if (const int status = report(loaded); status != ok) {
         return status;
     }
-    std::optional<ctl::change_base> base;
+    std::optional<ctl::expected_base> base;
     if (options.expected) {
-        base = ctl::change_base{*options.expected, true};
-    } else if (const auto noted = ctl::read_base(options.folder); noted) {
-        base = ctl::change_base{*noted, false};
+        base = ctl::expected_base{*options.expected, true};
+    } else if (const auto recorded = ctl::read_base_version(options.folder); recorded) {
+        base = ctl::expected_base{*recorded, false};
     }
     const auto version = ctl::apply(options.platform, loaded.config, base);
     if (!version) {
         return print_refusal(version.error());
     }
     std::printf("applied: version %llu\n", static_cast<unsigned long long>(*version));
-    if (auto noted = ctl::write_base(options.folder, *version); !noted) {
+    if (auto recorded = ctl::write_base_version(options.folder, *version); !recorded) {
         std::fprintf(stderr, "%s: the next apply of this folder needs --expect-version %llu\n",
-                     noted.error().message.c_str(), static_cast<unsigned long long>(*version));
+                     recorded.error().message.c_str(), static_cast<unsigned long long>(*version));
     }
     if (options.proxies.empty()) {
         return ok;
     }
-    const auto took = ctl::await_in_force(options.proxies, *version, in_force_limit);
-    if (!took) {
-        std::printf("applied, but %s\n", took.error().message.c_str());
+    const auto elapsed = ctl::wait_until_in_force(options.proxies, *version, in_force_timeout);
+    if (!elapsed) {
+        std::printf("applied, but %s\n", elapsed.error().message.c_str());
         return unreachable;
     }
     std::printf("in force on %zu prox%s after %lld ms\n", options.proxies.size(),
-                options.proxies.size() == 1 ? "y" : "ies", static_cast<long long>(took->count()));
+                options.proxies.size() == 1 ? "y" : "ies", static_cast<long long>(elapsed->count()));
     return ok;
 }
 
@@ -157,7 +156,7 @@
     std::ofstream out{folder / "00-applied.ini", std::ios::trunc};
     out << config::to_ini(*config);
     out.flush();
-    if (!out || !ctl::write_base(folder, config->version)) {
+    if (!out || !ctl::write_base_version(folder, config->version)) {
         std::fprintf(stderr, "cannot write into %s\n", folder.c_str());
         return refused;
     }
@@ -165,7 +164,7 @@
     return ok;
 }
 
-/// A file's text; nothing, and a message, when it can't be read.
+/// Reads a file; `nullopt`, with a message on standard error, when it cannot be read.
 std::optional<std::string> read_log(const std::string& name) {
     std::ifstream file{name};
     if (!file) {
@@ -175,8 +174,7 @@
     return std::string{std::istreambuf_iterator<char>{file}, {}};
 }
 
-/// Prints what requests were lost to, by place, reason and service, and how
-/// many in each second.
+/// Prints the lost requests by place, reason and service, and their number by second.
 int run_losses(std::span<const std::string> files) {
     ctl::loss_table table;
     for (const auto& name : files) {
@@ -184,21 +182,21 @@
         if (!text) {
             return usage;
         }
-        table.take(*text);
+        table.add_log(*text);
     }
-    std::printf("%8s %8s %8s  %-11s %-20s %s\n", "requests", "mean ms", "most ms", "place", "service", "reason");
-    for (const auto& [kind, count] : table.rows()) {
+    std::printf("%8s %8s %8s  %-11s %-20s %s\n", "requests", "mean ms", "max ms", "place", "service", "reason");
+    for (const auto& [group, count] : table.rows()) {
         std::printf("%8llu %8lld %8lld  %-11s %-20s %s\n", static_cast<unsigned long long>(count.requests),
                     count.waited_ms / static_cast<long long>(count.requests), count.longest_ms,
-                    std::string{to_string(kind.where)}.c_str(), kind.service.c_str(), kind.reason.c_str());
+                    std::string{to_string(group.place)}.c_str(), group.service.c_str(), group.reason.c_str());
     }
-    for (const auto& [second, count] : table.seconds()) {
+    for (const auto& [second, count] : table.per_second()) {
         std::printf("%s %llu\n", second.c_str(), static_cast<unsigned long long>(count.requests));
     }
     return ok;
 }
 
-/// Prints what the logs say of a request, and marks what decided it.
+/// Prints the log lines of a request, with a mark on the decisive one.
 int run_explain(const std::string& request, std::span<const std::string> files) {
     std::vector<ctl::request_line> lines;
     for (const auto& name : files) {
@@ -206,15 +204,15 @@
         if (!text) {
             return usage;
         }
-        ctl::collect_lines(request, name, *text, lines);
+        ctl::collect_request_lines(request, name, *text, lines);
     }
     if (lines.empty()) {
-        std::printf("no line tells of request %s\n", request.c_str());
+        std::printf("no log line mentions request %s\n", request.c_str());
         return refused;
     }
-    ctl::order_lines(lines);
+    ctl::sort_request_lines(lines);
     for (const auto& item : lines) {
-        std::printf("%s %s:%zu: %s\n", item.deciding ? "=>" : "  ", item.file.c_str(), item.number, item.text.c_str());
+        std::printf("%s %s:%zu: %s\n", item.decisive ? "=>" : "  ", item.file.c_str(), item.number, item.text.c_str());
     }
     return ok;
 }
@@ -226,35 +224,35 @@
     } else {
         std::printf("platform: %s\n", config.error().message.c_str());
     }
-    bool all = config.has_value();
+    bool all_ok = config.has_value();
     for (const auto& proxy : proxies) {
         const auto version = ctl::version_in_force(proxy);
         std::printf("%s: %s\n", to_string(proxy).c_str(),
                     version ? ("version " + std::to_string(*version)).c_str() : version.error().message.c_str());
-        all = all && version && *version == config->version;
+        all_ok = all_ok && version && *version == config->version;
     }
-    return all ? ok : refused;
+    return all_ok ? ok : refused;
 }
 
-/// The state of proxies that serve statement sessions, and what is wrong.
+/// Prints the status of proxies of the role `serve`, and their problems.
 int run_serve_status(const std::vector<tcp::endpoint>& proxies) {
-    std::vector<ctl::proxy_status> known;
-    bool all = true;
+    std::vector<ctl::proxy_status> proxy_statuses;
+    bool all_ok = true;
     for (const auto& proxy : proxies) {
-        const auto dump = rpc::call_blocking(proxy, "dump", Json::Value{Json::objectValue}, call_deadline);
+        const auto dump = rpc::call_blocking(proxy, "dump", Json::Value{Json::objectValue}, call_timeout);
         if (!dump) {
             std::printf("%s: %s\n", to_string(proxy).c_str(), dump.error().message.c_str());
-            all = false;
+            all_ok = false;
             continue;
         }
-        known.push_back(ctl::status_from(*dump));
-        std::printf("%s\n", ctl::to_text(known.back()).c_str());
+        proxy_statuses.push_back(ctl::parse_status(*dump));
+        std::printf("%s\n", ctl::to_text(proxy_statuses.back()).c_str());
     }
-    const auto wrong = ctl::problems(known);
-    for (const auto& line : wrong) {
+    const auto found_problems = ctl::find_problems(proxy_statuses);
+    for (const auto& line : found_problems) {
         std::printf("problem: %s\n", line.c_str());
     }
-    return !all ? unreachable : wrong.empty() ? ok : refused;
+    return !all_ok ? unreachable : found_problems.empty() ? ok : refused;
 }
 
 } // namespace
@@ -274,44 +272,44 @@
                                           cmd};
     cmd.parse(static_cast<int>(args.size()), args.data());
     init_logging("ctl", severity::warning);
-    const auto& words = operands.getValue();
+    const auto& operand_values = operands.getValue();
     const auto& verb = command.getValue();
-    if (verb == "check" && words.size() == 1) {
-        return report(config::load_folder(words[0]));
+    if (verb == "check" && operand_values.size() == 1) {
+        return report(config::load_folder(operand_values[0]));
     }
-    if (verb == "dump" && words.size() == 1) {
-        return print_call(words[0], "dump", "{}");
+    if (verb == "dump" && operand_values.size() == 1) {
+        return print_call(operand_values[0], "dump", "{}");
     }
-    if (verb == "call" && (words.size() == 2 || words.size() == 3)) {
-        return print_call(words[0], words[1], words.size() == 3 ? words[2] : "");
+    if (verb == "call" && (operand_values.size() == 2 || operand_values.size() == 3)) {
+        return print_call(operand_values[0], operand_values[1], operand_values.size() == 3 ? operand_values[2] : "");
     }
-    if (verb == "explain" && words.size() >= 2) {
-        return run_explain(words[0], std::span{words}.subspan(1));
+    if (verb == "explain" && operand_values.size() >= 2) {
+        return run_explain(operand_values[0], std::span{operand_values}.subspan(1));
     }
-    if (verb == "losses" && !words.empty()) {
-        return run_losses(words);
+    if (verb == "losses" && !operand_values.empty()) {
+        return run_losses(operand_values);
     }
-    if (verb == "check-settings" && words.size() == 1) {
-        return run_check_settings(words[0]);
+    if (verb == "check-settings" && operand_values.size() == 1) {
+        return run_check_settings(operand_values[0]);
     }
-    tcp::endpoint platform_at;
-    std::vector<tcp::endpoint> proxies_at;
-    if (!parse_endpoints(proxies.getValue(), proxies_at)) {
+    tcp::endpoint platform_endpoint;
+    std::vector<tcp::endpoint> proxy_endpoints;
+    if (!parse_endpoints(proxies.getValue(), proxy_endpoints)) {
         return usage;
     }
-    const bool has_platform = parse_endpoint(platform.getValue(), platform_at);
-    if (verb == "apply" && words.size() == 1 && has_platform) {
+    const bool has_platform = parse_endpoint(platform.getValue(), platform_endpoint);
+    if (verb == "apply" && operand_values.size() == 1 && has_platform) {
         const auto expected = expect.isSet() ? std::optional{expect.getValue()} : std::nullopt;
-        return run_apply({words[0], platform_at, expected, proxies_at});
+        return run_apply({operand_values[0], platform_endpoint, expected, proxy_endpoints});
     }
-    if (verb == "fetch" && words.size() == 1 && has_platform) {
-        return run_fetch(words[0], platform_at);
+    if (verb == "fetch" && operand_values.size() == 1 && has_platform) {
+        return run_fetch(operand_values[0], platform_endpoint);
     }
-    if (verb == "status" && words.empty() && has_platform) {
-        return run_status(platform_at, proxies_at);
+    if (verb == "status" && operand_values.empty() && has_platform) {
+        return run_status(platform_endpoint, proxy_endpoints);
     }
-    if (verb == "status" && words.empty() && !has_platform && !proxies_at.empty()) {
-        return run_serve_status(proxies_at);
+    if (verb == "status" && operand_values.empty() && !has_platform && !proxy_endpoints.empty()) {
+        return run_serve_status(proxy_endpoints);
     }
     std::fprintf(stderr, "usage: cornellever ctl check DIR\n"
                          "       cornellever ctl apply DIR --platform IP:PORT [--expect-version N] [--proxy IP:PORT]\n"
--- a/src/cornellever/ctl/proxy_status.hpp
+++ b/src/cornellever/ctl/proxy_status.hpp
@@ -10,8 +10,7 @@
 
 namespace cornellever::ctl {
 
-/// What an operator wants to know of a proxy that serves statement sessions,
-/// taken from its state dump.
+/// Summary of the state dump of a proxy of the role `serve`.
 struct proxy_status {
     std::string name;
     std::uint64_t config_version{0};
@@ -20,18 +19,19 @@
     bool store_reachable{false};
     bool leaving{false};
     std::size_t peers_alive{0};
-    /// By service, the server that it takes for the primary; empty for none.
+    /// By service, the key of the server that the proxy considers the primary;
+    /// empty when it knows none.
     std::map<std::string, std::string> primaries;
 };
 
-/// Reads a dump; fields that are missing count as 0, empty or false.
-[[nodiscard]] proxy_status status_from(const Json::Value& dump);
+/// Parses a dump; missing or malformed fields are 0, empty or false.
+[[nodiscard]] proxy_status parse_status(const Json::Value& dump);
 
-/// What is wrong among the proxies, a line each: no store, no primary, and
-/// what they disagree about. Empty when all is well.
-[[nodiscard]] std::vector<std::string> problems(std::span<const proxy_status> proxies);
+/// Lists the problems of the proxies, one line each: store unreachable, outdated
+/// configuration, unknown primary, different primaries. Empty when there are none.
+[[nodiscard]] std::vector<std::string> find_problems(std::span<const proxy_status> proxies);
 
-/// One line for people.
+/// Formats a status for display: one line, and one more for each service.
 [[nodiscard]] std::string to_text(const proxy_status& proxy);
 
 } // namespace cornellever::ctl
--- a/tests/unit/diagnostics.cpp
+++ b/tests/unit/diagnostics.cpp
@@ -12,45 +12,47 @@
 using namespace cornellever;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_SUITE(explaining)
+BOOST_AUTO_TEST_SUITE(diagnostics)
 
-BOOST_AUTO_TEST_CASE(the_lines_of_a_request_are_gathered_over_all_logs_in_order) {
+BOOST_AUTO_TEST_CASE(request_lines_are_collected_from_all_logs_in_time_order) {
     std::vector<ctl::request_line> lines;
-    ctl::collect_lines("5c", "b.log",
-                       "2026-01-01T00:00:02.000 serve INFO CL1310 request.refused request=5c reason=x\n"
-                       "2026-01-01T00:00:02.100 serve INFO CL1310 request.refused request=5cc reason=x\n",
-                       lines);
-    ctl::collect_lines("5c", "a.log",
-                       "  0.5 front 2026-01-01T00:00:01.500 serve INFO CL1311 request.retried request=5c\n", lines);
-    ctl::order_lines(lines);
+    ctl::collect_request_lines("5c", "b.log",
+                               "2026-01-01T00:00:02.000 serve INFO CL1310 request.refused request=5c reason=x\n"
+                               "2026-01-01T00:00:02.100 serve INFO CL1310 request.refused request=5cc reason=x\n",
+                               lines);
+    ctl::collect_request_lines(
+        "5c", "a.log", "  0.5 front 2026-01-01T00:00:01.500 serve INFO CL1311 request.retried request=5c\n", lines);
+    ctl::sort_request_lines(lines);
     BOOST_TEST_REQUIRE(lines.size() == 2U);
     BOOST_TEST(lines[0].file == "a.log");
-    BOOST_TEST(!lines[0].deciding);
-    BOOST_TEST(lines[1].deciding);
+    BOOST_TEST(!lines[0].decisive);
+    BOOST_TEST(lines[1].decisive);
     BOOST_TEST(lines[1].number == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(the_line_that_forbade_a_request_decides) {
+BOOST_AUTO_TEST_CASE(line_of_a_forbidden_request_is_decisive) {
     std::vector<ctl::request_line> lines;
-    ctl::collect_lines("7", "a.log",
-                       "2026-01-04T08:39:43.000 serve INFO CL1311 request.retried request=7 reason=owner_gone\n"
-                       "2026-01-04T08:39:43.001 serve INFO CL1317 request.forbidden request=7 reason=lease_ended\n",
-                       lines);
-    ctl::order_lines(lines);
+    ctl::collect_request_lines(
+        "7", "a.log",
+        "2026-01-04T08:39:43.000 serve INFO CL1311 request.retried request=7 reason=owner_gone\n"
+        "2026-01-04T08:39:43.001 serve INFO CL1317 request.forbidden request=7 reason=lease_ended\n",
+        lines);
+    ctl::sort_request_lines(lines);
     BOOST_TEST_REQUIRE(lines.size() == 2U);
-    BOOST_TEST(lines.back().deciding);
+    BOOST_TEST(lines.back().decisive);
 }
 
-// Callers wait because nobody reads the proxy's output: its lines fill the
-// pipe. Lines are dropped instead, and their number is told.
-BOOST_AUTO_TEST_CASE(lines_that_nobody_reads_are_dropped_and_counted) {
+// Guards against requests that block on logging: when the proxy's standard output
+// is not read, its log lines fill the pipe. Lines above the bounds are dropped
+// instead, and their number is logged.
+BOOST_AUTO_TEST_CASE(lines_above_the_rate_are_dropped_and_counted) {
     log_queue queue;
     const log_queue::time_point start{};
     for (std::uint32_t i = 0; i < log_queue::lines_per_second + 50; ++i) {
         queue.push(event::request_served, severity::info, "line", start);
     }
     BOOST_TEST(queue.dropped() == 50U);
-    // Another event has a rate of its own.
+    // The rate is limited per event.
     queue.push(event::store_lost, severity::warning, "store", start);
     queue.push(event::request_served, severity::info, "later", start + 1s);
     std::vector<std::string> written;
@@ -62,7 +64,7 @@
     BOOST_TEST(written.back() == "later");
 }
 
-BOOST_AUTO_TEST_CASE(the_memory_for_waiting_lines_is_bounded) {
+BOOST_AUTO_TEST_CASE(number_of_queued_lines_is_bounded) {
     log_queue queue;
     for (int second = 0; second < 100; ++second) {
         for (int i = 0; i < 100; ++i) {
@@ -77,7 +79,7 @@
     BOOST_TEST(queue.dropped() > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(metrics_are_in_the_exposition_format) {
+BOOST_AUTO_TEST_CASE(metrics_follow_the_exposition_format) {
     metrics::latency latency;
     latency.record(12ms);
     metrics::exposition out;
@@ -87,18 +89,18 @@
     out.summary("c_microseconds", "Times.", latency);
     const std::regex series{R"re([a-z_]+(\{[a-z_]+="[^"]*"(,[a-z_]+="[^"]*")*\})? -?[0-9.e+]+)re"};
     std::istringstream lines{out.text()};
-    int heads = 0;
+    int header_lines = 0;
     for (std::string line; std::getline(lines, line);) {
         if (line.starts_with("# ")) {
-            ++heads;
+            ++header_lines;
         } else {
             BOOST_TEST(std::regex_match(line, series), line);
         }
     }
-    BOOST_TEST(heads == 6);
+    BOOST_TEST(header_lines == 6);
 }
 
-BOOST_AUTO_TEST_CASE(the_deploy_template_fits_the_settings) {
+BOOST_AUTO_TEST_CASE(deploy_template_has_valid_settings) {
     std::ifstream file{CORNELLEVER_SOURCE_DIR "/deploy/proxy.ini.template"};
     const std::string text{std::istreambuf_iterator<char>{file}, {}};
     BOOST_TEST_REQUIRE(!text.empty());
