--- a/src/cornellever/core/daemon.cpp
+++ b/src/cornellever/core/daemon.cpp
@@ -30,7 +30,7 @@
 state_chart load_state_chart(std::string_view text, std::string_view name) {
     auto parsed = state_chart::parse(text, name);
     if (!parsed) {
-        std::fprintf(stderr, "state chart %s: %s\n", std::string{name}.c_str(), parsed.error().message.c_str());
+        std::fprintf(stderr, "chart %s: %s\n", std::string{name}.c_str(), parsed.error().message.c_str());
         std::exit(1);
     }
     return std::move(*parsed);
--- a/tests/unit/proxy_status.cpp
+++ b/tests/unit/proxy_status.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(proxy_status)
+BOOST_AUTO_TEST_SUITE(proxy_status_dump)
 
 BOOST_AUTO_TEST_CASE(dump_is_summarized) {
     const auto status = parse_dump(healthy_dump);
