--- a/src/cornellever/core/packing.cpp
+++ b/src/cornellever/core/packing.cpp
@@ -21,7 +21,7 @@
 packed_text pack(std::string_view text) {
     auto length = ::compressBound(static_cast<uLong>(text.size()));
     std::string out(length, '\0');
-    // Cannot fail: the buffer has the maximum compressed size.
+    // Fails only when the buffer is too small, which `compressBound` rules out.
     (void)::compress2(bytes_of(out), &length, bytes_of(text), static_cast<uLong>(text.size()), Z_BEST_SPEED);
     out.resize(length);
     return {text.size(), encode_base64(out)};
--- a/src/cornellever/ctl/losses.cpp
+++ b/src/cornellever/ctl/losses.cpp
@@ -80,8 +80,8 @@
     } else if (line.event == "transaction.failed") {
         add(line, loss_place::server, "transaction failed: " + without_retry_hint(reason), true);
     } else if (line.event == "request.retried") {
-        const auto words = reason.substr(0, reason.find(' '));
-        add(line, at_relay ? loss_place::relay : loss_place::server, "retried: " + std::string{words}, false);
+        const auto first_word = reason.substr(0, reason.find(' '));
+        add(line, at_relay ? loss_place::relay : loss_place::server, "retried: " + std::string{first_word}, false);
     } else if (line.event == "limit.refused" || line.event == "request.forbidden") {
         add(line, loss_place::account, "refused: " + std::string{reason.substr(0, reason.find(' '))}, true);
     } else if (line.event == "session.refused" && reason != "no_such_database" && reason != "unknown_key") {
