--- a/src/cornellever/backend/instance.cpp
+++ b/src/cornellever/backend/instance.cpp
@@ -43,7 +43,7 @@
         const bool is_replication = name == "replicate";
         rpc.on(std::move(name), [this, call, is_replication](params in, rpc::connection& conn) -> answer {
             if (m_faults.frozen || (m_faults.caller_traffic_blocked && !is_replication)) {
-                conn.go_silent = true;
+                conn.stop_answering = true;
                 return [](std::string instance_name) -> answer {
                     co_return fail(errc::outcome_unknown, instance_name + " is frozen");
                 }(m_settings.name);
--- a/src/cornellever/backend/replication.cpp
+++ b/src/cornellever/backend/replication.cpp
@@ -5,7 +5,7 @@
 #include "cornellever/core/daemon.hpp"
 #include "cornellever/core/log.hpp"
 #include "cornellever/core/quorum.hpp"
-#include "cornellever/rpc/kept_channel.hpp"
+#include "cornellever/rpc/reconnecting_channel.hpp"
 
 namespace cornellever::backend {
 
@@ -85,7 +85,7 @@
 
 instance::answer instance::replicate(params in, rpc::connection& conn) {
     if (m_faults.replication_blocked) {
-        conn.go_silent = true;
+        conn.stop_answering = true;
         co_return fail(errc::outcome_unknown, "cut");
     }
     const auto term = in["term"].asUInt64();
@@ -111,7 +111,7 @@
 }
 
 asio::awaitable<void> instance::ship(tcp::endpoint replica, std::uint64_t role_epoch) {
-    rpc::kept_channel link{m_executor, replica};
+    rpc::reconnecting_channel link{m_executor, replica};
     // Starts one entry before the end: a newly promoted primary has already
     // appended the first entry of its term, which no replica holds yet.
     std::uint64_t sent = m_log.last() > 0 ? m_log.last() - 1 : 0;
--- a/src/cornellever/backend/statements.cpp
+++ b/src/cornellever/backend/statements.cpp
@@ -9,7 +9,7 @@
 asio::awaitable<result<instance::connection_context*>> instance::context_of(rpc::connection& conn) {
     if (conn.id < m_faults.silent_below_id) {
         // The silent-connection fault: this connection never answers again.
-        conn.go_silent = true;
+        conn.stop_answering = true;
         co_return fail(errc::outcome_unknown, "silent");
     }
     auto* existing = static_cast<connection_context*>(conn.state.get());
--- a/src/cornellever/bench/verify.cpp
+++ b/src/cornellever/bench/verify.cpp
@@ -34,7 +34,7 @@
     if (answer) {
         return reported_outcome::done;
     }
-    return ran_not(answer.error().code) ? reported_outcome::not_run : reported_outcome::unknown;
+    return guarantees_not_executed(answer.error().code) ? reported_outcome::not_run : reported_outcome::unknown;
 }
 
 /// The shared state of one run; all its callers run on one thread.
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -13,8 +13,8 @@
 #include "cornellever/cluster/promotion_claim.hpp"
 #include "cornellever/cluster/successor.hpp"
 #include "cornellever/core/boot_clock.hpp"
-#include "cornellever/core/chart.hpp"
 #include "cornellever/core/log.hpp"
+#include "cornellever/core/state_chart.hpp"
 
 namespace cornellever::cluster {
 
@@ -57,7 +57,7 @@
 public:
     /// `holder` identifies this proxy to the platform; `claimant` also distinguishes incarnations
     /// of its process.
-    promotion(Store& store, Servers& servers, Orders& orders, const chart& steps, std::string holder,
+    promotion(Store& store, Servers& servers, Orders& orders, const state_chart& steps, std::string holder,
               std::string claimant)
         : m_store{store}
         , m_servers{servers}
@@ -224,7 +224,7 @@
     Store& m_store;
     Servers& m_servers;
     Orders& m_orders;
-    const chart& m_steps;
+    const state_chart& m_steps;
     std::string m_holder;
     std::string m_claimant;
     std::uint64_t m_claims{0};
--- a/src/cornellever/limits/grant_message.cpp
+++ b/src/cornellever/limits/grant_message.cpp
@@ -1,6 +1,6 @@
 #include "cornellever/limits/grant_message.hpp"
 
-#include "cornellever/core/words.hpp"
+#include "cornellever/core/text_parsing.hpp"
 
 namespace cornellever::limits {
 
@@ -22,8 +22,8 @@
 }
 
 std::optional<grant_request> decode_grant_request(std::string_view bytes) {
-    const bool tag_matches = take_word(bytes) == request_tag;
-    const auto nonce = whole_number(take_word(bytes));
+    const bool tag_matches = next_word(bytes) == request_tag;
+    const auto nonce = parse_unsigned(next_word(bytes));
     if (!tag_matches || !nonce || bytes.empty() || bytes.find(' ') != std::string_view::npos) {
         return std::nullopt;
     }
@@ -32,10 +32,10 @@
 
 std::optional<grant_response> decode_grant_response(std::string_view bytes) {
     constexpr std::uint64_t max_wait_ms = 3'600'000;
-    const bool tag_matches = take_word(bytes) == response_tag;
-    const auto nonce = whole_number(take_word(bytes));
-    const auto outcome = whole_number(take_word(bytes));
-    const auto wait = whole_number(bytes);
+    const bool tag_matches = next_word(bytes) == response_tag;
+    const auto nonce = parse_unsigned(next_word(bytes));
+    const auto outcome = parse_unsigned(next_word(bytes));
+    const auto wait = parse_unsigned(bytes);
     if (!tag_matches || !nonce || !outcome || !wait ||
         *outcome > static_cast<std::uint64_t>(grant_outcome::not_coordinator) || *wait > max_wait_ms) {
         return std::nullopt;
--- a/src/cornellever/proxy/backend_connections.cpp
+++ b/src/cornellever/proxy/backend_connections.cpp
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "cornellever/core/quorum.hpp"
-#include "cornellever/core/scoped_count.hpp"
+#include "cornellever/core/scoped_increment.hpp"
 #include "cornellever/proxy/answer.hpp"
 #include "cornellever/rpc/fields.hpp"
 
@@ -92,8 +92,8 @@
         return primary != nullptr && primary->term >= min_term ? primary : nullptr;
     };
     const auto refusal = [&] {
-        return fail_for_now(errc::unavailable, "no primary answers for " + database_key(service, database),
-                            primary_retry_after);
+        return fail_with_retry_after(errc::unavailable, "no primary answers for " + database_key(service, database),
+                                     primary_retry_after);
     };
     if (const auto* primary = find_primary(); primary != nullptr) {
         co_return *primary;
@@ -101,7 +101,7 @@
     if (m_primary_waiters >= m_limits.max_primary_waiters) {
         co_return refusal();
     }
-    scoped_count waiting{m_primary_waiters};
+    scoped_increment waiting{m_primary_waiters};
     while (clock::now() < until) {
         co_await sleep_for(primary_poll_interval);
         if (const auto* primary = find_primary(); primary != nullptr) {
@@ -136,7 +136,7 @@
         co_return acquired;
     }
     acquired->release();
-    if (ran_not(begun.error().code)) {
+    if (guarantees_not_executed(begun.error().code)) {
         co_return std::unexpected{begun.error()};
     }
     co_return fail(errc::unavailable, begun.error().message);
@@ -190,7 +190,7 @@
             replicas.push_back(confirming_replica{member->key, member->address});
         }
     }
-    co_return co_await m_confirmer.confirm(replicas, entry, confirmations_of(replicas.size() + 1), wait);
+    co_return co_await m_confirmer.confirm(replicas, entry, required_replica_acks(replicas.size() + 1), wait);
 }
 
 Json::Value backend_connections::describe() const {
--- a/src/cornellever/proxy/config_follower.hpp
+++ b/src/cornellever/proxy/config_follower.hpp
@@ -8,7 +8,7 @@
 #include "cornellever/config/model.hpp"
 #include "cornellever/core/asio.hpp"
 #include "cornellever/core/error.hpp"
-#include "cornellever/rpc/kept_channel.hpp"
+#include "cornellever/rpc/reconnecting_channel.hpp"
 
 namespace cornellever::proxy {
 
@@ -40,7 +40,7 @@
     void log_failure(const error& failure);
 
     asio::any_io_executor m_executor;
-    rpc::kept_channel m_platform;
+    rpc::reconnecting_channel m_platform;
     std::vector<tcp::endpoint> m_peers;
     follower_limits m_limits;
     std::function<void(config::cluster)> m_on_newer;
--- a/src/cornellever/proxy/control.cpp
+++ b/src/cornellever/proxy/control.cpp
@@ -4,7 +4,7 @@
 
 #include "cornellever/core/log.hpp"
 #include "cornellever/rpc/fields.hpp"
-#include "cornellever/rpc/kept_channel.hpp"
+#include "cornellever/rpc/reconnecting_channel.hpp"
 
 namespace cornellever::proxy {
 
@@ -29,7 +29,7 @@
 } // namespace
 
 control::control(asio::any_io_executor control_executor, asio::any_io_executor traffic, router& traffic_router,
-                 const settings& own_settings, const chart& failover_steps, control_limits limits)
+                 const settings& own_settings, const state_chart& failover_steps, control_limits limits)
     : m_control_executor{std::move(control_executor)}
     , m_traffic_executor{std::move(traffic)}
     , m_router{traffic_router}
@@ -73,7 +73,7 @@
 }
 
 asio::awaitable<void> control::poll_machines() {
-    rpc::kept_channel channel{m_control_executor, m_platform};
+    rpc::reconnecting_channel channel{m_control_executor, m_platform};
     for (;;) {
         auto list = co_await channel.call("vms.list", Json::Value{Json::objectValue}, m_limits.call_deadline);
         if (list) {
@@ -104,7 +104,7 @@
 }
 
 asio::awaitable<void> control::probe(std::string key, tcp::endpoint address, std::uint64_t generation) {
-    rpc::kept_channel channel{m_control_executor, address};
+    rpc::reconnecting_channel channel{m_control_executor, address};
     bool was_up = false;
     for (;;) {
         const auto found = m_probes.find(key);
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -8,7 +8,7 @@
 
 #include "cornellever/config/model.hpp"
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/config_follower.hpp"
 #include "cornellever/proxy/primary_monitor.hpp"
 #include "cornellever/proxy/router.hpp"
@@ -33,7 +33,7 @@
 class control {
 public:
     control(asio::any_io_executor control_executor, asio::any_io_executor traffic, router& traffic_router,
-            const settings& own_settings, const chart& failover_steps, control_limits limits = {});
+            const settings& own_settings, const state_chart& failover_steps, control_limits limits = {});
 
     /// Starts all polling loops.
     void start();
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
 #include "cornellever/core/error.hpp"
 #include "cornellever/core/quorum.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/group_record.hpp"
 #include "cornellever/proxy/term_position.hpp"
 
@@ -96,7 +96,7 @@
     using clock = std::chrono::steady_clock;
 
     /// `holder` names this proxy; `claim_prefix` is unique to it and identifies its claims.
-    failover(Store& store, Group& group, const chart& steps, std::string holder, std::string claim_prefix,
+    failover(Store& store, Group& group, const state_chart& steps, std::string holder, std::string claim_prefix,
              std::chrono::milliseconds claim_lease = default_claim_lease)
         : m_store{store}
         , m_group{group}
@@ -266,7 +266,7 @@
 
     Store& m_store;
     Group& m_group;
-    const chart& m_steps;
+    const state_chart& m_steps;
     std::string m_holder;
     std::string m_claim_prefix;
     std::chrono::milliseconds m_claim_lease;
--- a/src/cornellever/proxy/graceful_shutdown.hpp
+++ b/src/cornellever/proxy/graceful_shutdown.hpp
@@ -4,7 +4,7 @@
 #include <string_view>
 
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/router.hpp"
 #include "cornellever/rpc/server.hpp"
 
@@ -26,7 +26,7 @@
 public:
     using clock = std::chrono::steady_clock;
 
-    graceful_shutdown(rpc::server& server, router& traffic, const chart& steps, shutdown_limits limits = {})
+    graceful_shutdown(rpc::server& server, router& traffic, const state_chart& steps, shutdown_limits limits = {})
         : m_server{server}
         , m_router{traffic}
         , m_steps{steps}
@@ -42,7 +42,7 @@
 
     rpc::server& m_server;
     router& m_router;
-    const chart& m_steps;
+    const state_chart& m_steps;
     shutdown_limits m_limits;
 };
 
--- a/src/cornellever/proxy/pool.cpp
+++ b/src/cornellever/proxy/pool.cpp
@@ -31,10 +31,10 @@
     if (m_wait_queue.size() >= m_max_waiters) {
         log_event(event::pool_exhausted,
                   "instance=" + to_string(m_peer) + " waiters=" + std::to_string(m_wait_queue.size()));
-        co_return fail_for_now(errc::busy,
-                               "all " + std::to_string(m_budget) + " connections to " + to_string(m_peer) +
-                                   " are in use and the queue is full",
-                               queue_retry_after);
+        co_return fail_with_retry_after(errc::busy,
+                                        "all " + std::to_string(m_budget) + " connections to " + to_string(m_peer) +
+                                            " are in use and the queue is full",
+                                        queue_retry_after);
     }
     waiter entry{asio::steady_timer{m_executor, wait}, std::nullopt};
     m_wait_queue.push_back(&entry);
--- a/src/cornellever/proxy/primary_monitor.cpp
+++ b/src/cornellever/proxy/primary_monitor.cpp
@@ -21,7 +21,7 @@
 
 primary_monitor::primary_monitor(const asio::any_io_executor& executor, const topology& current_topology,
                                  const tcp::endpoint& platform, std::vector<tcp::endpoint> peers, std::string name,
-                                 const chart& failover_steps, monitor_limits limits,
+                                 const state_chart& failover_steps, monitor_limits limits,
                                  std::function<void(const heartbeat&)> on_promoted)
     : m_executor{executor}
     , m_topology{current_topology}
--- a/src/cornellever/proxy/primary_monitor.hpp
+++ b/src/cornellever/proxy/primary_monitor.hpp
@@ -9,7 +9,7 @@
 
 #include "cornellever/config/model.hpp"
 #include "cornellever/core/asio.hpp"
-#include "cornellever/core/chart.hpp"
+#include "cornellever/core/state_chart.hpp"
 #include "cornellever/proxy/backend_group.hpp"
 #include "cornellever/proxy/backoff.hpp"
 #include "cornellever/proxy/failover.hpp"
@@ -38,7 +38,7 @@
     /// first real one arrives. `peers` are the other proxies.
     primary_monitor(const asio::any_io_executor& executor, const topology& current_topology,
                     const tcp::endpoint& platform, std::vector<tcp::endpoint> peers, std::string name,
-                    const chart& failover_steps, monitor_limits limits,
+                    const state_chart& failover_steps, monitor_limits limits,
                     std::function<void(const heartbeat&)> on_promoted);
 
     /// Checks the databases of `config` periodically; `config` may change between checks.
--- a/src/cornellever/proxy/transaction_table.cpp
+++ b/src/cornellever/proxy/transaction_table.cpp
@@ -13,7 +13,7 @@
 /// Whether the outcome of a commit can be learnt only from the record of request ids: the answer was lost, or the id
 /// was already recorded.
 bool outcome_needs_record(const error& failure) noexcept {
-    return !ran_not(failure.code) || failure.code == errc::conflict;
+    return !guarantees_not_executed(failure.code) || failure.code == errc::conflict;
 }
 
 std::unexpected<error> not_open(const std::string& id) {
--- a/src/cornellever/proxy/write_path.cpp
+++ b/src/cornellever/proxy/write_path.cpp
@@ -21,7 +21,7 @@
 /// Maps an error before COMMIT was sent. Closing the connection makes the backend roll back, so even a step without an
 /// answer has not taken effect.
 error as_not_committed(const error& failure) {
-    if (ran_not(failure.code)) {
+    if (guarantees_not_executed(failure.code)) {
         return failure;
     }
     return error{errc::unavailable, "rolled back before commit: " + failure.message, {}};
@@ -118,7 +118,7 @@
         if (out) {
             co_return out;
         }
-        const bool unknown = !ran_not(out.error().code);
+        const bool unknown = !guarantees_not_executed(out.error().code);
         in_doubt = in_doubt || unknown;
         const bool retryable = unknown || is_retryable(out.error());
         if (retryable && clock::now() + retry_pause < until) {
@@ -129,11 +129,11 @@
         // after the record had no entry for the id; failing to read the record proves nothing.
         const bool resolved = !retryable && target.has_value();
         if (in_doubt && !resolved) {
-            co_return fail_for_now(errc::outcome_unknown,
-                                   "request " + request.request_id +
-                                       " may have taken effect: ask again with the same id (" + out.error().message +
-                                       ")",
-                                   unknown_outcome_retry_after);
+            co_return fail_with_retry_after(errc::outcome_unknown,
+                                            "request " + request.request_id +
+                                                " may have taken effect: ask again with the same id (" +
+                                                out.error().message + ")",
+                                            unknown_outcome_retry_after);
         }
         co_return out;
     }
@@ -202,7 +202,7 @@
         // may survive although the end was dropped.
         co_return fail(errc::outcome_unknown, confirmed.error().message);
     }
-    log_event(event::once_repeated, "instance=" + primary.key);
+    log_event(event::request_repeated, "instance=" + primary.key);
     auto out = statement_answer(found.answer, token, primary);
     out["repeated"] = true;
     co_return out;
@@ -243,9 +243,9 @@
             co_return out;
         }
         if (clock::now() + retry_pause >= until) {
-            co_return fail_for_now(errc::outcome_unknown,
-                                   "request " + request_id + " may have taken effect: ask again with the same id",
-                                   unknown_outcome_retry_after);
+            co_return fail_with_retry_after(
+                errc::outcome_unknown, "request " + request_id + " may have taken effect: ask again with the same id",
+                unknown_outcome_retry_after);
         }
         co_await sleep_for(retry_pause);
     }
--- a/src/cornellever/session/statement_engine.ipp
+++ b/src/cornellever/session/statement_engine.ipp
@@ -92,7 +92,7 @@
 template <routing::link_connector Connector>
 void statement_engine<Connector>::log_served(pool& backends, const lease& held, const statement_run& run,
                                              const std::optional<sql::log_position>& floor) const {
-    if (!logs(severity::info)) {
+    if (!log_enabled(severity::info)) {
         return;
     }
     const auto now = boot_clock::now();
@@ -179,7 +179,7 @@
                                                                            std::size_t reply_index, time_point until) {
     auto& backend = *held->server_entry;
     held->sent_at = boot_clock::now();
-    const scoped_count running{backend.in_flight};
+    const scoped_increment running{backend.in_flight};
     backends.set_awaiting_reply(*held, true);
     auto reply = co_await held->connection->exchange(std::move(batch), reply_index, until);
     backends.set_awaiting_reply(*held, false);
--- a/tests/platform/wire.cpp
+++ b/tests/platform/wire.cpp
@@ -216,7 +216,7 @@
         },
         asio::detached);
     io.run();
-    io.abandon_pending();
+    io.destroy_suspended_coroutines();
     for (const auto* server : {&primary, &replica}) {
         for (const auto& line : server->caller_statements) {
             transcript += "server " + line + "\n";
@@ -283,7 +283,7 @@
             },
             asio::detached);
         io.run();
-        io.abandon_pending();
+        io.destroy_suspended_coroutines();
         return transcript;
     }
 
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -472,7 +472,7 @@
     BOOST_TEST((why(caller, 1) == refusal::overloaded));
     BOOST_TEST(proxy.server("p").of("b").empty());
     BOOST_TEST(caller.answers.at(2).ok());
-    proxy.io.abandon_pending();
+    proxy.io.destroy_suspended_coroutines();
 }
 
 // A proxy that has not learnt of a revocation yet relays a session to a connection owner. The owner must check the key
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -371,7 +371,7 @@
     BOOST_TEST((got[1].what == admission_result::kind::used_up));
     BOOST_TEST((got[1].wait == 30ms));
     BOOST_TEST((got[2].what == admission_result::kind::used_up));
-    io.abandon_pending();
+    io.destroy_suspended_coroutines();
 }
 
 // Operations beyond an account's limit are refused before they take a connection; a transaction is refused at its start
--- a/tests/unit/promotions.cpp
+++ b/tests/unit/promotions.cpp
@@ -174,8 +174,8 @@
     }
 };
 
-chart steps() {
-    return *chart::parse(cluster::charts::promotion, "promotion.ini");
+state_chart steps() {
+    return *state_chart::parse(cluster::charts::promotion, "promotion.ini");
 }
 
 /// Runs one schedule: `choices` decide in order which pending call is next and what happens to it;
@@ -228,7 +228,7 @@
     for (auto& apply : state.late) {
         apply();
     }
-    state.io.abandon_pending();
+    state.io.destroy_suspended_coroutines();
     std::map<std::uint64_t, std::pair<std::string, std::string>> by_token;
     for (const auto& item : state.orders) {
         const auto [at, added] = by_token.emplace(item.token, std::pair{item.holder, item.server});
@@ -244,7 +244,7 @@
 BOOST_AUTO_TEST_SUITE(promotions)
 
 BOOST_AUTO_TEST_CASE(the_promotion_chart_is_valid) {
-    BOOST_TEST(chart::parse(cluster::charts::promotion, "promotion.ini").has_value());
+    BOOST_TEST(state_chart::parse(cluster::charts::promotion, "promotion.ini").has_value());
 }
 
 // Guards against two primaries at the same time, and against a delayed order that undoes a later
--- a/tests/unit/store_watch.cpp
+++ b/tests/unit/store_watch.cpp
@@ -53,7 +53,7 @@
 struct follower_fixture {
     follower_fixture() { asio::co_spawn(io, follower.run(), asio::detached); }
 
-    ~follower_fixture() { io.abandon_pending(); }
+    ~follower_fixture() { io.destroy_suspended_coroutines(); }
 
     void run_for_span(std::chrono::milliseconds span) {
         io.restart();
--- a/tests/unit/transactions.cpp
+++ b/tests/unit/transactions.cpp
@@ -204,7 +204,7 @@
     run_coroutine(io, [&]() -> asio::awaitable<void> {
         auto refused = co_await backends.await_primary("stockbook", "orders", proxy_fixture::clock::now() + 10s);
         BOOST_REQUIRE(!refused.has_value());
-        BOOST_TEST(ran_not(refused.error().code));
+        BOOST_TEST(guarantees_not_executed(refused.error().code));
         BOOST_TEST(refused.error().retry_after.count() > 0);
     });
 }
