--- a/tests/emulator/promises.cpp
+++ b/tests/emulator/consistency_checker.cpp
@@ -1,4 +1,4 @@
-#include "promises.hpp"
+#include "consistency_checker.hpp"
 
 #include <algorithm>
 #include <cstdio>
--- a/tests/emulator/metadata_store.cpp
+++ b/tests/emulator/metadata_store.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/beast/core.hpp>
 
-#include "accepting.hpp"
+#include "accept_each.hpp"
 #include "cornellever/core/base64.hpp"
 #include "cornellever/rpc/envelope.hpp"
 #include "cornellever/rpc/fields.hpp"
--- a/tests/emulator/replicated_service.cpp
+++ b/tests/emulator/replicated_service.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "accepting.hpp"
+#include "accept_each.hpp"
 #include "cornellever/rpc/envelope.hpp"
 #include "platform/statement_codec.hpp"
 #include "platform/status_server.hpp"
--- a/tests/emulator/replicated_service.hpp
+++ b/tests/emulator/replicated_service.hpp
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
+#include "consistency_checker.hpp"
 #include "cornellever/core/asio.hpp"
-#include "gateway.hpp"
 #include "platform/line_socket.hpp"
-#include "promises.hpp"
+#include "tcp_forwarder.hpp"
 
 namespace cornellever::emulator {
 
--- a/tests/emulator/gateway.cpp
+++ b/tests/emulator/tcp_forwarder.cpp
@@ -1,9 +1,9 @@
-#include "gateway.hpp"
+#include "tcp_forwarder.hpp"
 
 #include <algorithm>
 #include <array>
 
-#include "accepting.hpp"
+#include "accept_each.hpp"
 #include "platform/status_server.hpp"
 
 namespace cornellever::emulator {
--- a/tests/soak/caller.hpp
+++ b/tests/soak/caller.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "consistency_checker.hpp"
 #include "platform/line_socket.hpp"
 #include "platform/statement_codec.hpp"
-#include "promises.hpp"
 
 namespace cornellever::soak {
 
--- a/tests/soak/proxy_process.hpp
+++ b/tests/soak/proxy_process.hpp
@@ -7,9 +7,9 @@
 
 #include <boost/process/child.hpp>
 
+#include "consistency_checker.hpp"
 #include "cornellever/core/asio.hpp"
-#include "gateway.hpp"
-#include "promises.hpp"
+#include "tcp_forwarder.hpp"
 
 namespace cornellever::soak {
 
