--- a/tests/emulator/metadata_store.cpp
+++ b/tests/emulator/metadata_store.cpp
@@ -16,31 +16,31 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto feed_step = 10ms;
-constexpr std::size_t kept_history = 400;
-constexpr auto copy_period = 200ms;
-constexpr std::size_t kept_copies = 100;
+constexpr auto change_poll_interval = 10ms;
+constexpr std::size_t max_changes = 400;
+constexpr auto snapshot_period = 200ms;
+constexpr std::size_t max_snapshots = 100;
 
-std::uint64_t number_in(const std::string& text) {
+std::uint64_t parse_number(const std::string& text) {
     std::uint64_t out = 0;
     std::from_chars(text.data(), text.data() + text.size(), out);
     return out;
 }
 
-std::map<std::string, std::string> parameters_of(std::string target) {
+std::map<std::string, std::string> query_parameters(std::string target) {
     std::map<std::string, std::string> out;
-    auto at = target.find('?');
-    while (at != std::string::npos) {
-        const auto end = target.find('&', at + 1);
-        const auto item = target.substr(at + 1, end == std::string::npos ? end : end - at - 1);
-        const auto equals = item.find('=');
-        out[item.substr(0, equals)] = equals == std::string::npos ? "" : item.substr(equals + 1);
-        at = end;
+    auto position = target.find('?');
+    while (position != std::string::npos) {
+        const auto end = target.find('&', position + 1);
+        const auto item = target.substr(position + 1, end == std::string::npos ? end : end - position - 1);
+        const auto separator = item.find('=');
+        out[item.substr(0, separator)] = separator == std::string::npos ? "" : item.substr(separator + 1);
+        position = end;
     }
     return out;
 }
 
-http::response<http::string_body> reply(unsigned status, const Json::Value& body) {
+http::response<http::string_body> make_response(unsigned status, const Json::Value& body) {
     http::response<http::string_body> out{static_cast<http::status>(status), 11};
     out.keep_alive(true);
     out.set(http::field::content_type, "application/json");
@@ -51,36 +51,38 @@
 
 } // namespace
 
-metadata_store::metadata_store(asio::io_context& io, tcp::endpoint listen, on_order order)
+metadata_store::metadata_store(asio::io_context& io, tcp::endpoint listen, promotion_handler promote)
     : m_io{io}
     , m_acceptor{io}
-    , m_order{std::move(order)} {
+    , m_promote{std::move(promote)} {
     if (auto bound = platform::listen_on(m_acceptor, listen); !bound) {
         throw std::runtime_error{bound.error().message};
     }
-    const auto take = [this](tcp::socket socket) { asio::co_spawn(m_io, serve(std::move(socket)), asio::detached); };
-    asio::co_spawn(io, accept_each(m_acceptor, take), asio::detached);
-    asio::co_spawn(io, make_copies(), asio::detached);
+    const auto on_accept = [this](tcp::socket socket) {
+        asio::co_spawn(m_io, serve(std::move(socket)), asio::detached);
+    };
+    asio::co_spawn(io, accept_each(m_acceptor, on_accept), asio::detached);
+    asio::co_spawn(io, take_snapshots(), asio::detached);
 }
 
-asio::awaitable<void> metadata_store::make_copies() {
+asio::awaitable<void> metadata_store::take_snapshots() {
     for (;;) {
-        m_copies.push_back({boot_clock::now(), m_tables, m_version});
-        if (m_copies.size() > kept_copies) {
-            m_copies.pop_front();
+        m_snapshots.push_back({boot_clock::now(), m_tables, m_version});
+        if (m_snapshots.size() > max_snapshots) {
+            m_snapshots.pop_front();
         }
-        co_await sleep_for(copy_period);
+        co_await sleep_for(snapshot_period);
     }
 }
 
-void metadata_store::return_from_copy(std::chrono::milliseconds age) {
-    const auto wanted = boot_clock::now() - age;
-    while (m_copies.size() > 1 && m_copies.back().made_at > wanted) {
-        m_copies.pop_back();
+void metadata_store::restore_snapshot(std::chrono::milliseconds age) {
+    const auto restore_point = boot_clock::now() - age;
+    while (m_snapshots.size() > 1 && m_snapshots.back().taken_at > restore_point) {
+        m_snapshots.pop_back();
     }
-    m_tables = m_copies.back().tables;
-    m_version = m_copies.back().version;
-    m_history.clear();
+    m_tables = m_snapshots.back().tables;
+    m_version = m_snapshots.back().version;
+    m_changes.clear();
     ++m_era;
 }
 
@@ -100,9 +102,9 @@
     } else {
         m_tables[table].erase(key);
     }
-    m_history.push_back({m_version, table, key});
-    if (m_history.size() > kept_history) {
-        m_history.pop_front();
+    m_changes.push_back({m_version, table, key});
+    if (m_changes.size() > max_changes) {
+        m_changes.pop_front();
     }
 }
 
@@ -120,13 +122,13 @@
     boost::beast::tcp_stream stream{std::move(socket)};
     boost::beast::flat_buffer buffer;
     for (;;) {
-        question asked;
+        http_request incoming;
         boost::system::error_code ec;
-        co_await http::async_read(stream, buffer, asked, asio::redirect_error(asio::use_awaitable, ec));
+        co_await http::async_read(stream, buffer, incoming, asio::redirect_error(asio::use_awaitable, ec));
         if (ec) {
             co_return;
         }
-        auto out = co_await handle(asked);
+        auto out = co_await handle(incoming);
         if (!out) {
             // Nothing comes on this connection any more, and nothing says so.
             co_await sleep_for(30s);
@@ -140,31 +142,31 @@
     }
 }
 
-asio::awaitable<std::optional<metadata_store::answer>> metadata_store::handle(const question& asked) {
-    const std::string target{asked.target()};
+asio::awaitable<std::optional<metadata_store::http_response>> metadata_store::handle(const http_request& incoming) {
+    const std::string target{incoming.target()};
     if (target == "/promote") {
-        co_return order(asked);
+        co_return handle_promotion(incoming);
     }
     if (faults.delay.count() > 0) {
         co_await sleep_for(faults.delay);
     }
-    if (faults.refuse_with != 0) {
-        co_return reply(faults.refuse_with, Json::Value{Json::objectValue});
+    if (faults.error_status != 0) {
+        co_return make_response(faults.error_status, Json::Value{Json::objectValue});
     }
     if (target == "/rows-tx") {
-        co_return co_await transact(asked);
+        co_return co_await transact(incoming);
     }
-    const auto params = parameters_of(target);
+    const auto params = query_parameters(target);
     if (target.starts_with("/rows-feed")) {
-        co_return co_await feed(params);
+        co_return co_await wait_for_changes(params);
     }
     if (target.starts_with("/rows-get")) {
-        co_return list(params);
+        co_return list_rows(params);
     }
-    co_return reply(404, Json::Value{Json::objectValue});
+    co_return make_response(404, Json::Value{Json::objectValue});
 }
 
-Json::Value metadata_store::encoded(const std::string& table, const std::string& key) const {
+Json::Value metadata_store::encode_row(const std::string& table, const std::string& key) const {
     Json::Value out;
     out["TableName"] = table;
     out["part"] = "";
@@ -180,58 +182,59 @@
     return out;
 }
 
-metadata_store::answer metadata_store::list(const std::map<std::string, std::string>& params) {
+metadata_store::http_response metadata_store::list_rows(const std::map<std::string, std::string>& params) {
     const auto name = params.at("TableName");
-    const auto from = params.contains("From") ? params.at("From") : std::string{};
-    const auto limit = params.contains("Limit") ? number_in(params.at("Limit")) : 500;
+    const auto first_key = params.contains("From") ? params.at("From") : std::string{};
+    const auto limit = params.contains("Limit") ? parse_number(params.at("Limit")) : 500;
     Json::Value out;
     out["rows"] = Json::arrayValue;
     for (const auto& [key, item] : m_tables[name]) {
-        if (key >= from && out["rows"].size() < limit) {
-            out["rows"].append(encoded(name, key));
+        if (key >= first_key && out["rows"].size() < limit) {
+            out["rows"].append(encode_row(name, key));
         }
     }
     out["HasMore"] = false;
     out["Ver"] = static_cast<Json::UInt64>(m_version);
     out["NowMs"] = static_cast<Json::Int64>(to_ms(boot_clock::now() - m_started));
-    return reply(200, out);
+    return make_response(200, out);
 }
 
-asio::awaitable<metadata_store::answer> metadata_store::feed(const std::map<std::string, std::string>& params) {
+asio::awaitable<metadata_store::http_response>
+metadata_store::wait_for_changes(const std::map<std::string, std::string>& params) {
     const auto name = params.at("TableName");
-    const auto after = number_in(params.at("after"));
-    const auto until = boot_clock::now() + std::chrono::milliseconds{number_in(params.at("WaitMs"))};
+    const auto after = parse_number(params.at("after"));
+    const auto deadline = boot_clock::now() + std::chrono::milliseconds{parse_number(params.at("WaitMs"))};
     for (;;) {
-        const bool gone =
-            after > m_version || (after < m_version && (m_history.empty() || m_history.front().version > after + 1));
-        if (gone) {
-            co_return reply(410, Json::Value{Json::objectValue});
+        const bool history_dropped =
+            after > m_version || (after < m_version && (m_changes.empty() || m_changes.front().version > after + 1));
+        if (history_dropped) {
+            co_return make_response(410, Json::Value{Json::objectValue});
         }
         Json::Value out;
         out["rows"] = Json::arrayValue;
-        for (const auto& item : m_history) {
+        for (const auto& item : m_changes) {
             if (item.version > after && item.table == name) {
-                auto row = encoded(name, item.key);
+                auto row = encode_row(name, item.key);
                 row["Ver"] = static_cast<Json::UInt64>(item.version);
                 out["rows"].append(std::move(row));
             }
         }
-        if (!out["rows"].empty() || boot_clock::now() >= until) {
+        if (!out["rows"].empty() || boot_clock::now() >= deadline) {
             out["Ver"] = static_cast<Json::UInt64>(m_version);
             out["NowMs"] = static_cast<Json::Int64>(to_ms(boot_clock::now() - m_started));
-            co_return reply(200, out);
+            co_return make_response(200, out);
         }
-        co_await sleep_for(feed_step);
-        if (faults.refuse_with != 0) {
-            co_return reply(faults.refuse_with, Json::Value{Json::objectValue});
+        co_await sleep_for(change_poll_interval);
+        if (faults.error_status != 0) {
+            co_return make_response(faults.error_status, Json::Value{Json::objectValue});
         }
     }
 }
 
 bool metadata_store::apply(const Json::Value& body) {
     for (const auto& item : body["ExpectedRev"]) {
-        const auto now = encoded(rpc::text_field(item, "TableName"), rpc::text_field(item, "Key"));
-        if (rpc::uint_field(now, "Ver") != rpc::uint_field(item, "Ver")) {
+        const auto current = encode_row(rpc::text_field(item, "TableName"), rpc::text_field(item, "Key"));
+        if (rpc::uint_field(current, "Ver") != rpc::uint_field(item, "Ver")) {
             return false;
         }
     }
@@ -246,37 +249,37 @@
     return true;
 }
 
-asio::awaitable<std::optional<metadata_store::answer>> metadata_store::transact(const question& asked) {
-    auto body = rpc::parse_json(asked.body());
+asio::awaitable<std::optional<metadata_store::http_response>> metadata_store::transact(const http_request& incoming) {
+    auto body = rpc::parse_json(incoming.body());
     if (!body) {
-        co_return reply(400, Json::Value{Json::objectValue});
+        co_return make_response(400, Json::Value{Json::objectValue});
     }
-    if (faults.late_writes > 0) {
-        --faults.late_writes;
+    if (faults.delayed_writes > 0) {
+        --faults.delayed_writes;
         co_await sleep_for(1s);
         (void)apply(*body);
         co_return std::nullopt;
     }
     const bool done = apply(*body);
-    if (faults.lose_answers > 0) {
-        --faults.lose_answers;
+    if (faults.dropped_responses > 0) {
+        --faults.dropped_responses;
         co_return std::nullopt;
     }
     Json::Value out;
     out["Ver"] = static_cast<Json::UInt64>(m_version);
     out["NowMs"] = static_cast<Json::Int64>(to_ms(boot_clock::now() - m_started));
-    co_return reply(done ? 200 : 412, out);
+    co_return make_response(done ? 200 : 412, out);
 }
 
-metadata_store::answer metadata_store::order(const question& asked) {
-    const auto body = rpc::parse_json(asked.body());
+metadata_store::http_response metadata_store::handle_promotion(const http_request& incoming) {
+    const auto body = rpc::parse_json(incoming.body());
     if (!body) {
-        return reply(400, Json::Value{Json::objectValue});
+        return make_response(400, Json::Value{Json::objectValue});
     }
-    const auto token = number_in(std::string{asked["X-Cornellever-Fencing-Token"]});
-    const bool taken = m_order(rpc::text_field(*body, "Service"), rpc::text_field(*body, "Id"),
-                               std::string{asked["X-Cornellever-Duty-Holder"]}, token);
-    return reply(taken ? 200 : 409, Json::Value{Json::objectValue});
+    const auto token = parse_number(std::string{incoming["X-Cornellever-Fencing-Token"]});
+    const bool accepted = m_promote(rpc::text_field(*body, "Service"), rpc::text_field(*body, "Id"),
+                                    std::string{incoming["X-Cornellever-Duty-Holder"]}, token);
+    return make_response(accepted ? 200 : 409, Json::Value{Json::objectValue});
 }
 
 } // namespace cornellever::emulator
--- a/tests/emulator/metadata_store.hpp
+++ b/tests/emulator/metadata_store.hpp
@@ -21,35 +21,36 @@
 /// How the emulated store misbehaves at present.
 struct store_faults {
     /// Answered to every call instead of doing it: 503 or 429; 0 when well.
-    unsigned refuse_with{0};
+    unsigned error_status{0};
     std::chrono::milliseconds delay{0};
     /// Writes that are done and not answered.
-    int lose_answers{0};
+    int dropped_responses{0};
     /// Writes that are done a second later, if their condition still holds,
     /// and not answered.
-    int late_writes{0};
+    int delayed_writes{0};
 };
 
 /// The platform's metadata store and its promotion call, in memory, over HTTP.
 class metadata_store {
 public:
     /// Takes an order: service, server, holder, token; false when it is refused.
-    using on_order = std::function<bool(const std::string&, const std::string&, const std::string&, std::uint64_t)>;
+    using promotion_handler =
+        std::function<bool(const std::string&, const std::string&, const std::string&, std::uint64_t)>;
 
-    metadata_store(asio::io_context& io, tcp::endpoint listen, on_order order);
+    metadata_store(asio::io_context& io, tcp::endpoint listen, promotion_handler promote);
 
     /// Writes or removes a row as the operators and the servers do.
     void put(const std::string& table, const std::string& key, const std::string& value);
     void remove(const std::string& table, const std::string& key);
-    void drop_history() { m_history.clear(); }
+    void drop_change_history() { m_changes.clear(); }
 
     /// Goes back to how it was so long ago, as a store that is restored from a
     /// copy: versions are given out again, in another era.
-    void return_from_copy(std::chrono::milliseconds age);
+    void restore_snapshot(std::chrono::milliseconds age);
 
     /// The keys of a table.
     [[nodiscard]] std::vector<std::string> keys(const std::string& table) const;
-    [[nodiscard]] bool well() const noexcept { return faults.refuse_with == 0; }
+    [[nodiscard]] bool available() const noexcept { return faults.error_status == 0; }
 
     store_faults faults;
 
@@ -64,33 +65,33 @@
         std::string key;
     };
     using table = std::map<std::string, row>;
-    using answer = http::response<http::string_body>;
-    using question = http::request<http::string_body>;
+    using http_response = http::response<http::string_body>;
+    using http_request = http::request<http::string_body>;
 
-    struct copy {
-        boot_clock::time_point made_at;
+    struct snapshot {
+        boot_clock::time_point taken_at;
         std::map<std::string, table> tables;
         std::uint64_t version{0};
     };
 
-    asio::awaitable<void> make_copies();
+    asio::awaitable<void> take_snapshots();
     asio::awaitable<void> serve(tcp::socket socket);
-    asio::awaitable<std::optional<answer>> handle(const question& asked);
-    asio::awaitable<std::optional<answer>> transact(const question& asked);
-    asio::awaitable<answer> feed(const std::map<std::string, std::string>& params);
-    answer list(const std::map<std::string, std::string>& params);
-    answer order(const question& asked);
+    asio::awaitable<std::optional<http_response>> handle(const http_request& incoming);
+    asio::awaitable<std::optional<http_response>> transact(const http_request& incoming);
+    asio::awaitable<http_response> wait_for_changes(const std::map<std::string, std::string>& params);
+    http_response list_rows(const std::map<std::string, std::string>& params);
+    http_response handle_promotion(const http_request& incoming);
     bool apply(const Json::Value& body);
     void write(const std::string& table, const std::string& key, std::optional<std::string> value);
-    Json::Value encoded(const std::string& table, const std::string& key) const;
+    Json::Value encode_row(const std::string& table, const std::string& key) const;
 
     asio::io_context& m_io;
     tcp::acceptor m_acceptor;
-    on_order m_order;
+    promotion_handler m_promote;
     std::map<std::string, table> m_tables;
-    std::deque<change> m_history;
+    std::deque<change> m_changes;
     std::uint64_t m_version{0};
-    std::deque<copy> m_copies;
+    std::deque<snapshot> m_snapshots;
     std::uint64_t m_era{1};
     boot_clock::time_point m_started{boot_clock::now()};
 };
--- a/tests/emulator/replicated_service.cpp
+++ b/tests/emulator/replicated_service.cpp
@@ -14,12 +14,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto promotion_takes = 300ms;
+constexpr auto promotion_delay = 300ms;
 constexpr auto replication_period = 15ms;
-constexpr auto statement_takes = 2ms;
+constexpr auto statement_delay = 2ms;
 
 /// Where the server itself listens, behind its gateway.
-tcp::endpoint behind(const tcp::endpoint& address) {
+tcp::endpoint server_endpoint(const tcp::endpoint& address) {
     return {address.address(), static_cast<unsigned short>(address.port() + 1000)};
 }
 
@@ -42,7 +42,7 @@
 struct emulated_server::session {
     char state{'I'};
     /// A transaction that only the primary runs, and the term it began in.
-    bool plain{false};
+    bool read_write{false};
     std::uint64_t term{0};
     /// Whose statements the open transaction holds, and which transaction.
     std::uint64_t owner{0};
@@ -51,297 +51,307 @@
     std::map<std::string, std::string> values;
     std::map<std::string, std::string> prepared;
     /// Answers nothing more: an answer was lost.
-    bool mute{false};
-    platform::line_socket* lines{nullptr};
+    bool unresponsive{false};
+    platform::line_socket* connection{nullptr};
 
     void end_transaction() {
         state = 'I';
-        plain = false;
+        read_write = false;
         owner = 0;
         transaction = 0;
         writes.clear();
     }
 };
 
-emulated_server::emulated_server(asio::io_context& io, replicated_service& home, std::string id,
+emulated_server::emulated_server(asio::io_context& io, replicated_service& service, std::string id,
                                  std::string data_center, tcp::endpoint address)
     : m_io{io}
-    , m_home{home}
+    , m_service{service}
     , m_id{std::move(id)}
     , m_data_center{std::move(data_center)}
     , m_acceptor{io}
-    , m_gateway{io, address, behind(address)} {}
+    , m_forwarder{io, address, server_endpoint(address)} {}
 
 void emulated_server::start() {
     m_running = true;
     const auto now = std::chrono::system_clock::now().time_since_epoch();
-    m_born = std::chrono::duration_cast<std::chrono::milliseconds>(now);
-    if (auto bound = platform::listen_on(m_acceptor, behind(m_gateway.address())); !bound) {
+    m_started_at = std::chrono::duration_cast<std::chrono::milliseconds>(now);
+    if (auto bound = platform::listen_on(m_acceptor, server_endpoint(m_forwarder.address())); !bound) {
         throw std::runtime_error{bound.error().message};
     }
-    const auto take = [this](tcp::socket socket) { asio::co_spawn(m_io, serve(std::move(socket)), asio::detached); };
-    asio::co_spawn(m_io, accept_each(m_acceptor, take), asio::detached);
-    m_gateway.open();
+    const auto on_accept = [this](tcp::socket socket) {
+        asio::co_spawn(m_io, serve(std::move(socket)), asio::detached);
+    };
+    asio::co_spawn(m_io, accept_each(m_acceptor, on_accept), asio::detached);
+    m_forwarder.accept_connections();
 }
 
 void emulated_server::crash() {
     m_running = false;
     boost::system::error_code ignored;
     m_acceptor.close(ignored);
-    m_gateway.refuse();
+    m_forwarder.refuse_connections();
     for (auto* item : m_sessions) {
-        item->lines->close();
+        item->connection->close();
     }
 }
 
-void emulated_server::crash_and_forget() {
+void emulated_server::crash_and_lose_log() {
     crash();
     m_log.clear();
-    m_forgot = leads();
+    m_log_lost = is_primary();
 }
 
-bool emulated_server::leads() const {
-    return m_home.leads(*this);
+bool emulated_server::is_primary() const {
+    return m_service.is_primary(*this);
 }
 
 std::string emulated_server::registration() const {
     Json::Value out;
-    out["Service"] = m_home.name();
-    out["Address"] = m_gateway.address().address().to_string() + ":" + std::to_string(m_gateway.address().port());
+    out["Service"] = m_service.name();
+    out["Address"] = m_forwarder.address().address().to_string() + ":" + std::to_string(m_forwarder.address().port());
     out["Zone"] = m_data_center;
     out["Version"] = "v1";
     out["Slots"] = 2;
     out["State"] = draining ? "draining" : "ready";
     out["WarmupLeftMs"] = 0;
     out["Seq"] = static_cast<Json::UInt64>(m_term);
-    out["born"] = static_cast<Json::Int64>(m_born.count());
-    out["DbRole"] = leads() ? "primary" : "replica";
+    out["born"] = static_cast<Json::Int64>(m_started_at.count());
+    out["DbRole"] = is_primary() ? "primary" : "replica";
     return rpc::to_text(out);
 }
 
 asio::awaitable<void> emulated_server::serve(tcp::socket socket) {
-    platform::line_socket lines{std::move(socket)};
-    session now;
-    now.lines = &lines;
-    const auto born = m_born;
-    const bool full = m_sessions.size() >= m_home.max_connections;
-    m_sessions.insert(&now);
+    platform::line_socket connection{std::move(socket)};
+    session client;
+    client.connection = &connection;
+    const auto started_at = m_started_at;
+    const bool at_capacity = m_sessions.size() >= m_service.max_connections;
+    m_sessions.insert(&client);
     for (;;) {
-        auto line = co_await lines.next_line(boot_clock::now() + 1h);
+        auto line = co_await connection.next_line(boot_clock::now() + 1h);
         if (!line || !m_running) {
             break;
         }
         if (line->starts_with("STARTUP ")) {
-            const bool mine = line->starts_with("STARTUP " + m_home.name() + " ") && line->ends_with(" " + m_id);
-            lines.write(!mine ? "ERROR MISROUTED -\r\n" : full ? "ERROR TOOMANY -\r\n" : "READY I 1.0\r\n");
-            if (!mine || full) {
+            const bool for_this_server =
+                line->starts_with("STARTUP " + m_service.name() + " ") && line->ends_with(" " + m_id);
+            connection.write(!for_this_server ? "ERROR MISROUTED -\r\n"
+                             : at_capacity    ? "ERROR TOOMANY -\r\n"
+                                              : "READY I 1.0\r\n");
+            if (!for_this_server || at_capacity) {
                 break;
             }
             continue;
         }
         if (!line->starts_with("QUERY - ")) {
-            co_await sleep_for(statement_takes);
+            co_await sleep_for(statement_delay);
         }
-        if (!m_running || m_born != born) {
+        if (!m_running || m_started_at != started_at) {
             // The process that took the statement has crashed meanwhile.
             break;
         }
-        const auto out = answer(now, std::move(*line));
-        if (!now.mute) {
-            lines.write(out);
+        const auto out = answer(client, std::move(*line));
+        if (!client.unresponsive) {
+            connection.write(out);
         }
     }
-    m_sessions.erase(&now);
+    m_sessions.erase(&client);
 }
 
 std::size_t emulated_server::applied() const {
-    if (leads()) {
+    if (is_primary()) {
         return m_log.size();
     }
     const auto now = boot_clock::now();
-    const auto late = std::ranges::find_if(m_log, [&](const log_entry& item) { return item.due > now; });
-    return static_cast<std::size_t>(late - m_log.begin());
+    const auto first_unapplied = std::ranges::find_if(m_log, [&](const log_entry& item) { return item.due > now; });
+    return static_cast<std::size_t>(first_unapplied - m_log.begin());
 }
 
-bool emulated_server::holds(sql::log_position at) const {
+bool emulated_server::has_applied(sql::log_position at) const {
     return at.number == 0 || (at.number <= applied() && m_log[at.number - 1].term == at.term);
 }
 
-std::string emulated_server::ready(const session& now) const {
-    return std::string{"READY "} + now.state + " " + std::to_string(m_term) + "." + std::to_string(applied()) + "\r\n";
+std::string emulated_server::ready(const session& client) const {
+    return std::string{"READY "} + client.state + " " + std::to_string(m_term) + "." + std::to_string(applied()) +
+           "\r\n";
 }
 
-std::string emulated_server::refuse(session& now, std::string_view code) {
-    if (now.state != 'I') {
-        now.state = 'E';
+std::string emulated_server::refuse(session& client, std::string_view code) {
+    if (client.state != 'I') {
+        client.state = 'E';
     }
-    return "ERROR " + std::string{code} + " " + m_id + "\r\n" + ready(now);
+    return "ERROR " + std::string{code} + " " + m_id + "\r\n" + ready(client);
 }
 
-std::string emulated_server::answer(session& now, std::string line) {
+std::string emulated_server::answer(session& client, std::string line) {
     take_word(line);
     const auto id = take_word(line);
     if (line.starts_with("AFTER ")) {
         take_word(line);
         const auto needed = platform::parse_position(take_word(line));
-        if (!needed || !holds(*needed)) {
-            return refuse(now, "LAGGING");
+        if (!needed || !has_applied(*needed)) {
+            return refuse(client, "LAGGING");
         }
     }
     if (id == "-") {
-        return run_own(now, line);
+        return run_proxy_statement(client, line);
     }
-    const auto* asked = m_home.told().find(id);
-    if (asked == nullptr) {
-        m_home.told().broken("unasked", m_id + " was sent " + id + " " + line);
-        return refuse(now, "FAILED");
+    const auto* issued = m_service.checker().find_request(id);
+    if (issued == nullptr) {
+        m_service.checker().report_violation("unasked", m_id + " was sent " + id + " " + line);
+        return refuse(client, "FAILED");
     }
-    if (now.state == 'E') {
-        return refuse(now, "MALFORMED");
+    if (client.state == 'E') {
+        return refuse(client, "MALFORMED");
     }
-    auto out = run_callers(now, *asked, line);
-    if (lose_answers > 0) {
-        --lose_answers;
-        now.mute = true;
+    auto out = run_caller_statement(client, *issued, line);
+    if (dropped_replies > 0) {
+        --dropped_replies;
+        client.unresponsive = true;
     }
     return out;
 }
 
-std::string emulated_server::begin(session& now, bool read_only) {
-    if (now.state != 'I') {
-        return refuse(now, "MALFORMED");
+std::string emulated_server::begin(session& client, bool read_only) {
+    if (client.state != 'I') {
+        return refuse(client, "MALFORMED");
     }
-    if (!read_only && !leads()) {
-        return refuse(now, "READONLY");
+    if (!read_only && !is_primary()) {
+        return refuse(client, "READONLY");
     }
-    now.state = 'T';
-    now.plain = !read_only;
-    now.term = m_term;
-    return "COMPLETE -\r\n" + ready(now);
+    client.state = 'T';
+    client.read_write = !read_only;
+    client.term = m_term;
+    return "COMPLETE -\r\n" + ready(client);
 }
 
-std::string emulated_server::run_own(session& now, const std::string& text) {
+std::string emulated_server::run_proxy_statement(session& client, const std::string& text) {
     auto rest = text;
     const auto word = take_word(rest);
     if (word == "BEGIN") {
-        return begin(now, rest == "READ");
+        return begin(client, rest == "READ");
     }
     if (word == "STATUS") {
-        return "ROW " + std::string{leads() ? "primary" : "replica"} + " " + std::to_string(m_term) + " " +
-               std::to_string(m_term) + "." + std::to_string(m_log.size()) + " 0 0 0 1\r\nCOMPLETE -\r\n" + ready(now);
+        return "ROW " + std::string{is_primary() ? "primary" : "replica"} + " " + std::to_string(m_term) + " " +
+               std::to_string(m_term) + "." + std::to_string(m_log.size()) + " 0 0 0 1\r\nCOMPLETE -\r\n" +
+               ready(client);
     }
     if (word == "ROLLBACK") {
-        now.end_transaction();
-    } else if (now.state == 'E') {
-        return refuse(now, "MALFORMED");
+        client.end_transaction();
+    } else if (client.state == 'E') {
+        return refuse(client, "MALFORMED");
     } else if (word == "SET") {
         const auto name = take_word(rest);
-        now.values[name] = rest;
+        client.values[name] = rest;
     } else if (word == "PREPARE") {
         const auto name = take_word(rest);
-        now.prepared[name] = rest;
+        client.prepared[name] = rest;
     } else if (word == "RESET") {
-        now.values.clear();
-        now.prepared.clear();
+        client.values.clear();
+        client.prepared.clear();
     } else if (word == "DEALLOCATE") {
-        now.prepared.erase(rest);
+        client.prepared.erase(rest);
     } else {
-        m_home.told().broken("unasked", m_id + " was sent a statement of the proxy's own: " + text);
+        m_service.checker().report_violation("unasked", m_id + " was sent a statement of the proxy's own: " + text);
     }
-    return "COMPLETE -\r\n" + ready(now);
+    return "COMPLETE -\r\n" + ready(client);
 }
 
 /// The right transaction on the right connection, and never two callers' in one.
-void emulated_server::check_place(session& now, const request& asked) {
-    const bool in_transaction = now.state == 'T';
-    if (in_transaction && now.owner != 0 && (now.owner != asked.session || now.transaction != asked.transaction)) {
-        m_home.told().broken("pinned", asked.id + " ran inside a transaction of another caller at " + m_id);
+void emulated_server::check_transaction(session& client, const request& issued) {
+    const bool in_transaction = client.state == 'T';
+    if (in_transaction && client.owner != 0 &&
+        (client.owner != issued.session || client.transaction != issued.transaction)) {
+        m_service.checker().report_violation("pinned",
+                                             issued.id + " ran inside a transaction of another caller at " + m_id);
     }
-    if (asked.transaction != 0 && !in_transaction) {
-        m_home.told().broken("pinned", asked.id + " ran outside its transaction at " + m_id);
+    if (issued.transaction != 0 && !in_transaction) {
+        m_service.checker().report_violation("pinned", issued.id + " ran outside its transaction at " + m_id);
     }
-    if (now.owner == 0 && nothing_new_after && boot_clock::now() > *nothing_new_after) {
-        m_home.told().broken("drain", asked.id + " began at " + m_id + ", which is leaving");
+    if (client.owner == 0 && no_new_work_after && boot_clock::now() > *no_new_work_after) {
+        m_service.checker().report_violation("drain", issued.id + " began at " + m_id + ", which is leaving");
     }
     if (in_transaction) {
-        now.owner = asked.session;
-        now.transaction = asked.transaction;
+        client.owner = issued.session;
+        client.transaction = issued.transaction;
     }
 }
 
 /// The statement as its caller sent it, in a session like its caller's.
-void emulated_server::check_statement(const session& now, const request& asked, const std::string& text) {
-    auto same = text == asked.text;
+void emulated_server::check_statement(const session& client, const request& issued, const std::string& text) {
+    auto matches = text == issued.text;
     if (text.starts_with("EXECUTE ")) {
         auto rest = text;
         take_word(rest);
-        const auto prepared = now.prepared.find(take_word(rest));
-        auto told = asked.text;
-        take_word(told);
-        take_word(told);
-        same = rest == told && prepared != now.prepared.end() && prepared->second == asked.prepared;
+        const auto prepared = client.prepared.find(take_word(rest));
+        auto expected = issued.text;
+        take_word(expected);
+        take_word(expected);
+        matches = rest == expected && prepared != client.prepared.end() && prepared->second == issued.prepared;
     }
-    if (!same) {
-        m_home.told().broken("unasked", asked.id + " was '" + asked.text + "' and came as '" + text + "'");
+    if (!matches) {
+        m_service.checker().report_violation("unasked",
+                                             issued.id + " was '" + issued.text + "' and came as '" + text + "'");
     }
-    if (now.values != asked.values) {
-        m_home.told().broken("pinned", asked.id + " ran with other session values at " + m_id);
+    if (client.values != issued.values) {
+        m_service.checker().report_violation("pinned", issued.id + " ran with other session values at " + m_id);
     }
 }
 
-std::string emulated_server::run_callers(session& now, const request& asked, const std::string& text) {
-    const bool lost_lead = now.plain && (!leads() || now.term != m_term);
+std::string emulated_server::run_caller_statement(session& client, const request& issued, const std::string& text) {
+    const bool lost_primary_role = client.read_write && (!is_primary() || client.term != m_term);
     if (text == "COMMIT") {
-        if ((lost_lead || m_forgot) && !now.writes.empty()) {
-            return refuse(now, "READONLY");
+        if ((lost_primary_role || m_log_lost) && !client.writes.empty()) {
+            return refuse(client, "READONLY");
         }
-        return commit(now, asked);
+        return commit(client, issued);
     }
     const bool writes =
-        text.starts_with("WRITE ") || (text.starts_with("EXECUTE ") && asked.prepared.starts_with("WRITE "));
+        text.starts_with("WRITE ") || (text.starts_with("EXECUTE ") && issued.prepared.starts_with("WRITE "));
     // Without its log a server numbers its commits anew, which the promises
     // could not tell from the old ones: it takes none.
-    if (lost_lead || (writes && (!leads() || m_forgot))) {
-        return refuse(now, "READONLY");
+    if (lost_primary_role || (writes && (!is_primary() || m_log_lost))) {
+        return refuse(client, "READONLY");
     }
-    check_place(now, asked);
-    check_statement(now, asked, text);
+    check_transaction(client, issued);
+    check_statement(client, issued, text);
     if (!writes) {
-        m_home.told().read_ran(asked, [this](sql::log_position at) { return holds(at); });
-        return success(now, asked, "row-" + asked.id + "-" + std::to_string(applied()));
+        m_service.checker().check_read(issued, [this](sql::log_position at) { return has_applied(at); });
+        return success(client, issued, "row-" + issued.id + "-" + std::to_string(applied()));
     }
-    if (now.state == 'T') {
-        now.writes.push_back(asked.id);
+    if (client.state == 'T') {
+        client.writes.push_back(issued.id);
     } else {
-        m_home.commit(*this, {asked.id});
+        m_service.commit(*this, {issued.id});
     }
-    return success(now, asked, "");
+    return success(client, issued, "");
 }
 
-std::string emulated_server::commit(session& now, const request& asked) {
-    if (asked.text != "COMMIT" || now.state != 'T' || now.owner != asked.session ||
-        now.transaction != asked.transaction) {
-        m_home.told().broken("pinned", asked.id + " committed what is not its caller's at " + m_id);
-        return refuse(now, "FAILED");
+std::string emulated_server::commit(session& client, const request& issued) {
+    if (issued.text != "COMMIT" || client.state != 'T' || client.owner != issued.session ||
+        client.transaction != issued.transaction) {
+        m_service.checker().report_violation("pinned", issued.id + " committed what is not its caller's at " + m_id);
+        return refuse(client, "FAILED");
     }
-    const auto writes = now.writes;
-    now.end_transaction();
+    const auto writes = client.writes;
+    client.end_transaction();
     if (!writes.empty()) {
-        m_home.commit(*this, writes);
+        m_service.commit(*this, writes);
     }
-    return success(now, asked, "");
+    return success(client, issued, "");
 }
 
-std::string emulated_server::success(session& now, const request& asked, const std::string& row) {
+std::string emulated_server::success(session& client, const request& issued, const std::string& row) {
     const auto signature = m_id + "." + std::to_string(++m_signatures);
-    m_home.told().ran(asked.id, signature, row);
-    return (row.empty() ? "" : "ROW " + row + "\r\n") + "COMPLETE " + signature + "\r\n" + ready(now);
+    m_service.checker().record_execution(issued.id, signature, row);
+    return (row.empty() ? "" : "ROW " + row + "\r\n") + "COMPLETE " + signature + "\r\n" + ready(client);
 }
 
-replicated_service::replicated_service(asio::io_context& io, promises& told, std::string name,
+replicated_service::replicated_service(asio::io_context& io, consistency_checker& checker, std::string name,
                                        std::vector<tcp::endpoint> addresses)
     : m_io{io}
-    , m_promises{told}
+    , m_checker{checker}
     , m_name{std::move(name)} {
     constexpr std::array data_centers{"walu", "laucala", "nabua"};
     for (std::size_t i = 0; i < addresses.size(); ++i) {
@@ -358,18 +368,18 @@
 
 void replicated_service::commit(emulated_server& at, std::vector<std::string> writes) {
     at.m_log.push_back({m_term, writes, boot_clock::now()});
-    m_promises.committed(m_name, writes, {m_term, at.m_log.size()});
+    m_checker.record_commit(m_name, writes, {m_term, at.m_log.size()});
 }
 
-void replicated_service::bring_up(emulated_server& replica) {
+void replicated_service::catch_up(emulated_server& replica) {
     auto& log = replica.m_log;
-    const auto& newest = m_primary->m_log;
-    while (!is_prefix(log, log.size(), newest)) {
+    const auto& primary_log = m_primary->m_log;
+    while (!is_prefix(log, log.size(), primary_log)) {
         log.pop_back();
     }
     const auto now = boot_clock::now();
-    while (log.size() < newest.size()) {
-        auto entry = newest[log.size()];
+    while (log.size() < primary_log.size()) {
+        auto entry = primary_log[log.size()];
         entry.due = now + replica.lag;
         log.push_back(std::move(entry));
     }
@@ -379,12 +389,12 @@
 asio::awaitable<void> replicated_service::replicate() {
     for (;;) {
         co_await sleep_for(replication_period);
-        if (!m_primary->m_running || m_primary->m_forgot) {
+        if (!m_primary->m_running || m_primary->m_log_lost) {
             continue;
         }
         for (auto& item : m_servers) {
-            if (item.get() != m_primary && item->m_running && !item->deaf) {
-                bring_up(*item);
+            if (item.get() != m_primary && item->m_running && !item->replication_stopped) {
+                catch_up(*item);
             }
         }
     }
@@ -392,31 +402,32 @@
 
 bool replicated_service::promote(const std::string& id, const std::string& holder, std::uint64_t token) {
     const auto found = std::ranges::find_if(m_servers, [&](const auto& item) { return item->id() == id; });
-    const auto before = m_holders.emplace(token, holder).first->second;
-    if (before != holder) {
-        m_promises.broken("one", before + " and " + holder + " ordered with token " + std::to_string(token));
+    const auto previous_holder = m_holders.emplace(token, holder).first->second;
+    if (previous_holder != holder) {
+        m_checker.report_violation("one",
+                                   previous_holder + " and " + holder + " ordered with token " + std::to_string(token));
     }
     if (token < m_token || found == m_servers.end() || !(*found)->running()) {
         return false;
     }
     m_token = token;
     if (found->get() != m_primary) {
-        asio::co_spawn(m_io, lead_later(**found, token), asio::detached);
+        asio::co_spawn(m_io, complete_promotion(**found, token), asio::detached);
     }
     return true;
 }
 
-asio::awaitable<void> replicated_service::lead_later(emulated_server& next, std::uint64_t token) {
-    co_await sleep_for(promotion_takes);
-    if (token < m_token || !next.m_running || m_primary == &next) {
+asio::awaitable<void> replicated_service::complete_promotion(emulated_server& candidate, std::uint64_t token) {
+    co_await sleep_for(promotion_delay);
+    if (token < m_token || !candidate.m_running || m_primary == &candidate) {
         co_return;
     }
-    next.m_term = ++m_term;
-    std::printf("%s leads %s in term %llu with %zu entries\n", next.m_id.c_str(), m_name.c_str(),
-                static_cast<unsigned long long>(m_term), next.m_log.size());
-    m_promises.rolled_back(m_name, next.m_log.size());
-    m_primary->m_forgot = false;
-    m_primary = &next;
+    candidate.m_term = ++m_term;
+    std::printf("%s leads %s in term %llu with %zu entries\n", candidate.m_id.c_str(), m_name.c_str(),
+                static_cast<unsigned long long>(m_term), candidate.m_log.size());
+    m_checker.record_rollback(m_name, candidate.m_log.size());
+    m_primary->m_log_lost = false;
+    m_primary = &candidate;
 }
 
 } // namespace cornellever::emulator
--- a/tests/emulator/tcp_forwarder.cpp
+++ b/tests/emulator/tcp_forwarder.cpp
@@ -8,104 +8,107 @@
 
 namespace cornellever::emulator {
 
-struct gateway::pipe {
-    pipe(asio::io_context& io, tcp::socket taken, std::uint64_t given)
-        : from{std::move(taken)}
-        , to{io}
-        , number{given} {}
+struct tcp_forwarder::forwarded_connection {
+    forwarded_connection(asio::io_context& io, tcp::socket accepted, std::uint64_t connection_number)
+        : client{std::move(accepted)}
+        , server{io}
+        , number{connection_number} {}
 
     void reset() {
-        boost::system::error_code ignored;
-        from.set_option(asio::socket_base::linger{true, 0}, ignored);
-        from.close(ignored);
-        to.close(ignored);
+        boost::system::error_code ignored_error;
+        client.set_option(asio::socket_base::linger{true, 0}, ignored_error);
+        client.close(ignored_error);
+        server.close(ignored_error);
     }
 
-    tcp::socket from;
-    tcp::socket to;
+    tcp::socket client;
+    tcp::socket server;
     std::uint64_t number;
     /// The first bytes, which tell who connected.
-    std::string opening;
+    std::string first_bytes;
     /// Bytes were lost: those behind them never arrive either.
-    bool silent{false};
+    bool blackholed{false};
 };
 
-gateway::gateway(asio::io_context& io, tcp::endpoint listen, tcp::endpoint target)
+tcp_forwarder::tcp_forwarder(asio::io_context& io, tcp::endpoint listen, tcp::endpoint target)
     : m_io{io}
     , m_listen{std::move(listen)}
     , m_target{std::move(target)}
     , m_acceptor{io} {}
 
-void gateway::open() {
+void tcp_forwarder::accept_connections() {
     if (!m_acceptor.is_open()) {
         if (auto bound = platform::listen_on(m_acceptor, m_listen); !bound) {
             throw std::runtime_error{bound.error().message};
         }
-        const auto take = [this](tcp::socket socket) {
-            asio::co_spawn(m_io, carry(std::make_shared<pipe>(m_io, std::move(socket), ++m_last)), asio::detached);
+        const auto on_accept = [this](tcp::socket socket) {
+            asio::co_spawn(
+                m_io, run_connection(std::make_shared<forwarded_connection>(m_io, std::move(socket), ++m_last_number)),
+                asio::detached);
         };
-        asio::co_spawn(m_io, accept_each(m_acceptor, take), asio::detached);
+        asio::co_spawn(m_io, accept_each(m_acceptor, on_accept), asio::detached);
     }
 }
 
-void gateway::refuse() {
-    boost::system::error_code ignored;
-    m_acceptor.close(ignored);
-    reset_all();
+void tcp_forwarder::refuse_connections() {
+    boost::system::error_code ignored_error;
+    m_acceptor.close(ignored_error);
+    reset_connections();
 }
 
-void gateway::reset_all() {
-    for (const auto& item : m_pipes) {
+void tcp_forwarder::reset_connections() {
+    for (const auto& item : m_connections) {
         item->reset();
     }
 }
 
-void gateway::cut_for(std::chrono::milliseconds span, bool one_way, std::set<std::string> only) {
-    faults.cut_until = boot_clock::now() + span;
-    faults.one_way = one_way;
-    faults.only = std::move(only);
+void tcp_forwarder::partition_for(std::chrono::milliseconds span, bool drop_replies_only,
+                                  std::set<std::string> match_first_bytes) {
+    faults.partitioned_until = boot_clock::now() + span;
+    faults.drop_replies_only = drop_replies_only;
+    faults.match_first_bytes = std::move(match_first_bytes);
 }
 
-bool gateway::swallows(const pipe& through, bool back) const {
-    if (through.number < faults.silent_below) {
+bool tcp_forwarder::drops(const forwarded_connection& connection, bool to_client) const {
+    if (connection.number < faults.blackholed_before) {
         return true;
     }
-    if (boot_clock::now() >= faults.cut_until || (faults.one_way && !back)) {
+    if (boot_clock::now() >= faults.partitioned_until || (faults.drop_replies_only && !to_client)) {
         return false;
     }
-    return faults.only.empty() || std::ranges::any_of(faults.only, [&](const auto& name) {
-               return through.opening.find(name) != std::string::npos;
+    return faults.match_first_bytes.empty() || std::ranges::any_of(faults.match_first_bytes, [&](const auto& name) {
+               return connection.first_bytes.find(name) != std::string::npos;
            });
 }
 
-asio::awaitable<void> gateway::carry(std::shared_ptr<pipe> through) {
-    m_pipes.insert(through);
+asio::awaitable<void> tcp_forwarder::run_connection(std::shared_ptr<forwarded_connection> connection) {
+    m_connections.insert(connection);
     boost::system::error_code ec;
-    co_await through->to.async_connect(m_target, asio::redirect_error(asio::use_awaitable, ec));
+    co_await connection->server.async_connect(m_target, asio::redirect_error(asio::use_awaitable, ec));
     if (ec) {
-        through->reset();
-        m_pipes.erase(through);
+        connection->reset();
+        m_connections.erase(connection);
         co_return;
     }
-    through->from.set_option(tcp::no_delay{true}, ec);
-    through->to.set_option(tcp::no_delay{true}, ec);
-    asio::co_spawn(m_io, pump(through, true), asio::detached);
-    co_await pump(through, false);
-    m_pipes.erase(through);
+    connection->client.set_option(tcp::no_delay{true}, ec);
+    connection->server.set_option(tcp::no_delay{true}, ec);
+    asio::co_spawn(m_io, forward_bytes(connection, true), asio::detached);
+    co_await forward_bytes(connection, false);
+    m_connections.erase(connection);
 }
 
 /// Servers drop a connection whose other end is out of reach; its own end
 /// hears nothing of that.
-asio::awaitable<void> gateway::drop_far_end(std::shared_ptr<pipe> through) {
+asio::awaitable<void> tcp_forwarder::close_server_side(std::shared_ptr<forwarded_connection> connection) {
     constexpr std::chrono::seconds dropped_after{3};
     co_await sleep_for(dropped_after);
-    boost::system::error_code ignored;
-    through->to.close(ignored);
+    boost::system::error_code ignored_error;
+    connection->server.close(ignored_error);
 }
 
-asio::awaitable<void> gateway::pump(std::shared_ptr<pipe> through, bool back) {
-    auto& source = back ? through->to : through->from;
-    auto& target = back ? through->from : through->to;
+asio::awaitable<void> tcp_forwarder::forward_bytes(std::shared_ptr<forwarded_connection> connection, bool to_client) {
+    auto& source = to_client ? connection->server : connection->client;
+    auto& target = to_client ? connection->client : connection->server;
     std::array<char, 16384> chunk{};
     for (;;) {
         boost::system::error_code ec;
@@ -114,17 +117,17 @@
         if (ec) {
             break;
         }
-        if (!back && through->opening.empty()) {
-            through->opening.assign(chunk.data(), size);
+        if (!to_client && connection->first_bytes.empty()) {
+            connection->first_bytes.assign(chunk.data(), size);
         }
         if (faults.delay.count() > 0) {
             co_await sleep_for(faults.delay);
         }
-        if (!through->silent && swallows(*through, back)) {
-            through->silent = true;
-            asio::co_spawn(m_io, drop_far_end(through), asio::detached);
+        if (!connection->blackholed && drops(*connection, to_client)) {
+            connection->blackholed = true;
+            asio::co_spawn(m_io, close_server_side(connection), asio::detached);
         }
-        if (through->silent) {
+        if (connection->blackholed) {
             continue;
         }
         co_await asio::async_write(target, asio::buffer(chunk.data(), size),
@@ -133,11 +136,11 @@
             break;
         }
     }
-    boost::system::error_code ignored;
-    if (!through->silent) {
-        target.shutdown(tcp::socket::shutdown_send, ignored);
-        if (ignored) {
-            through->reset();
+    boost::system::error_code ignored_error;
+    if (!connection->blackholed) {
+        target.shutdown(tcp::socket::shutdown_send, ignored_error);
+        if (ignored_error) {
+            connection->reset();
         }
     }
 }
--- a/tests/soak/caller.cpp
+++ b/tests/soak/caller.cpp
@@ -9,15 +9,15 @@
 using namespace std::chrono_literals;
 
 /// A route's statement timeout, and what the proxy may take beyond it.
-constexpr auto answer_limit = 4s;
-constexpr auto longest_pause_ms = 30;
+constexpr auto reply_timeout = 4s;
+constexpr auto max_pause_ms = 30;
 
-std::uint64_t next_number() {
+std::uint64_t next_id() {
     static std::uint64_t last = 0;
     return ++last;
 }
 
-bool promises_nothing_kept(sql::refusal why) {
+bool guarantees_no_effect(sql::refusal why) {
     return why == sql::refusal::overloaded || why == sql::refusal::aborted || why == sql::refusal::behind ||
            why == sql::refusal::not_primary || why == sql::refusal::wrong_server ||
            why == sql::refusal::too_many_connections;
@@ -25,58 +25,60 @@
 
 } // namespace
 
-caller::caller(promises& told, std::vector<database> databases, balancer next, on_cut cut, std::uint64_t seed)
-    : m_promises{told}
+caller::caller(consistency_checker& checker, std::vector<database> databases, balancer pick_proxy,
+               disconnect_handler on_disconnect, std::uint64_t seed)
+    : m_checker{checker}
     , m_databases{std::move(databases)}
-    , m_next{std::move(next)}
-    , m_cut{std::move(cut)}
+    , m_pick_proxy{std::move(pick_proxy)}
+    , m_on_disconnect{std::move(on_disconnect)}
     , m_random{seed} {}
 
-asio::awaitable<bool> caller::connect(tcp::endpoint at, const database& on) {
+asio::awaitable<bool> caller::connect(tcp::endpoint proxy, const database& target_database) {
     m_lines.reset();
-    auto socket = co_await platform::connect_until(co_await asio::this_coro::executor, at, boot_clock::now() + 500ms);
+    auto socket =
+        co_await platform::connect_until(co_await asio::this_coro::executor, proxy, boot_clock::now() + 500ms);
     if (!socket) {
         co_return false;
     }
     m_lines = std::make_unique<platform::line_socket>(std::move(*socket));
-    m_at = at;
-    m_database = &on;
-    m_session = next_number();
+    m_proxy = proxy;
+    m_database = &target_database;
+    m_session = next_id();
     m_transaction = 0;
     m_values.clear();
     m_prepared.clear();
     m_decoder = {};
-    m_lines->write("STARTUP " + on.name + " caller\r\n");
+    m_lines->write("STARTUP " + target_database.name + " caller\r\n");
     const auto line = co_await m_lines->next_line(boot_clock::now() + 2s);
     co_return line && line->starts_with("READY");
 }
 
-asio::awaitable<caller::outcome> caller::ask(std::string text, std::string prepared) {
+asio::awaitable<caller::outcome> caller::execute(std::string text, std::string prepared) {
     const auto now = boot_clock::now();
-    auto& asked = m_promises.sent({.id = "q" + std::to_string(next_number()),
-                                   .text = text,
-                                   .session = m_session,
-                                   .transaction = m_transaction,
-                                   .sent_at = now,
-                                   .begun_at = m_transaction == 0 ? now : m_begun,
-                                   .at = m_database,
-                                   .values = m_values,
-                                   .prepared = std::move(prepared)});
+    auto& issued = m_checker.record_request({.id = "q" + std::to_string(next_id()),
+                                             .text = text,
+                                             .session = m_session,
+                                             .transaction = m_transaction,
+                                             .sent_at = now,
+                                             .begun_at = m_transaction == 0 ? now : m_transaction_started_at,
+                                             .target = m_database,
+                                             .values = m_values,
+                                             .prepared = std::move(prepared)});
     outcome out;
-    out.reply.signature = asked.id;
-    if (!m_lines->write("QUERY " + asked.id + " " + text + "\r\n")) {
+    out.reply.signature = issued.id;
+    if (!m_lines->write("QUERY " + issued.id + " " + text + "\r\n")) {
         // Nothing was sent.
         co_return out;
     }
     for (;;) {
-        const auto line = co_await m_lines->next_line(now + answer_limit);
+        const auto line = co_await m_lines->next_line(now + reply_timeout);
         if (!line) {
-            m_cut(m_at, asked);
+            m_on_disconnect(m_proxy, issued);
             co_return out;
         }
         const auto step = m_decoder.take(*line);
         if (step == platform::reply_decoder::step::garbled) {
-            m_promises.broken("whole answer", asked.id + " was answered '" + *line + "'");
+            m_checker.report_violation("whole answer", issued.id + " was answered '" + *line + "'");
             co_return out;
         }
         if (step == platform::reply_decoder::step::done) {
@@ -85,54 +87,54 @@
     }
     out.reply = m_decoder.finish();
     out.answered = true;
-    const bool own =
+    const bool has_checked_result =
         text.starts_with("READ ") || text.starts_with("WRITE ") || text.starts_with("EXECUTE ") || text == "COMMIT";
-    if (own && out.reply.ok()) {
-        m_promises.succeeded(asked, out.reply.signature, out.reply.rows.empty() ? "" : out.reply.rows.front());
+    if (has_checked_result && out.reply.ok()) {
+        m_checker.check_success(issued, out.reply.signature, out.reply.rows.empty() ? "" : out.reply.rows.front());
     }
-    const bool autocommit = m_transaction == 0 && (text.starts_with("WRITE ") || asked.prepared.starts_with("WRITE "));
+    const bool autocommit = m_transaction == 0 && (text.starts_with("WRITE ") || issued.prepared.starts_with("WRITE "));
     if (autocommit) {
-        judge(asked, out, {asked.id});
+        record_outcome(issued, out, {issued.id});
     }
-    out.reply.rows = {asked.id};
+    out.reply.rows = {issued.id};
     co_return out;
 }
 
-void caller::judge(const request& asked, const outcome& got, const std::vector<std::string>& writes) {
-    if (!got.answered) {
+void caller::record_outcome(const request& issued, const outcome& result, const std::vector<std::string>& writes) {
+    if (!result.answered) {
         return;
     }
-    if (got.reply.ok()) {
-        m_promises.commit_acknowledged(asked, writes);
-    } else if (promises_nothing_kept(got.reply.why())) {
-        m_promises.promised_not_run(writes);
+    if (result.reply.ok()) {
+        m_checker.record_acknowledged_commit(issued, writes);
+    } else if (guarantees_no_effect(result.reply.why())) {
+        m_checker.record_refusal(writes);
     }
 }
 
 asio::awaitable<void> caller::run(const bool& stop) {
     while (!stop) {
-        co_await session(stop);
-        co_await sleep_for(std::chrono::milliseconds{20 + below(60)});
+        co_await run_session(stop);
+        co_await sleep_for(std::chrono::milliseconds{20 + random_below(60)});
     }
 }
 
-asio::awaitable<void> caller::session(const bool& stop) {
-    const auto at = m_next();
-    if (!at) {
+asio::awaitable<void> caller::run_session(const bool& stop) {
+    const auto proxy = m_pick_proxy();
+    if (!proxy) {
         co_return;
     }
-    const auto& on = m_databases[below(m_databases.size())];
-    const bool connected = co_await connect(*at, on);
+    const auto& target_database = m_databases[random_below(m_databases.size())];
+    const bool connected = co_await connect(*proxy, target_database);
     if (!connected) {
         co_return;
     }
-    bool going = co_await set_up();
-    const auto operations = 1 + below(60);
-    for (std::uint64_t i = 0; going && !stop && i < operations; ++i) {
-        going = co_await operation();
-        co_await sleep_for(std::chrono::milliseconds{below(longest_pause_ms)});
+    bool usable = co_await prepare_session();
+    const auto operations = 1 + random_below(60);
+    for (std::uint64_t i = 0; usable && !stop && i < operations; ++i) {
+        usable = co_await run_operation();
+        co_await sleep_for(std::chrono::milliseconds{random_below(max_pause_ms)});
     }
-    if (going) {
+    if (usable) {
         m_lines->write("TERMINATE\r\n");
     }
     m_lines.reset();
@@ -140,21 +142,22 @@
 
 /// Values and prepared statements of the session's own; names collide with
 /// those of other sessions.
-asio::awaitable<bool> caller::set_up() {
-    for (std::uint64_t i = below(3); i > 0; --i) {
-        const auto name = "v" + std::to_string(below(3));
-        const auto value = std::to_string(below(4));
-        const auto got = co_await ask("SET " + name + " " + value);
-        if (!got.answered || !got.reply.ok()) {
+asio::awaitable<bool> caller::prepare_session() {
+    for (std::uint64_t i = random_below(3); i > 0; --i) {
+        const auto name = "v" + std::to_string(random_below(3));
+        const auto value = std::to_string(random_below(4));
+        const auto result = co_await execute("SET " + name + " " + value);
+        if (!result.answered || !result.reply.ok()) {
             co_return false;
         }
         m_values[name] = value;
     }
-    for (std::uint64_t i = below(3); i > 0; --i) {
+    for (std::uint64_t i = random_below(3); i > 0; --i) {
         const auto name = "s" + std::to_string(i);
-        const auto shape = std::string{below(2) == 0 ? "READ" : "WRITE"} + " shape" + std::to_string(below(6));
-        const auto got = co_await ask("PREPARE " + name + " " + shape);
-        if (!got.answered || !got.reply.ok()) {
+        const auto shape =
+            std::string{random_below(2) == 0 ? "READ" : "WRITE"} + " shape" + std::to_string(random_below(6));
+        const auto result = co_await execute("PREPARE " + name + " " + shape);
+        if (!result.answered || !result.reply.ok()) {
             co_return false;
         }
         m_prepared[name] = shape;
@@ -164,90 +167,91 @@
 
 std::string caller::statement(bool write, std::string& prepared) {
     for (const auto& [name, shape] : m_prepared) {
-        if (shape.starts_with(write ? "WRITE" : "READ") && below(2) == 0) {
+        if (shape.starts_with(write ? "WRITE" : "READ") && random_below(2) == 0) {
             prepared = shape;
-            return "EXECUTE " + name + " item" + std::to_string(below(40)) + (write ? " data" : "");
+            return "EXECUTE " + name + " item" + std::to_string(random_below(40)) + (write ? " data" : "");
         }
     }
-    return (write ? "WRITE item" : "READ item") + std::to_string(below(40)) + (write ? " data" : "");
+    return (write ? "WRITE item" : "READ item") + std::to_string(random_below(40)) + (write ? " data" : "");
 }
 
-asio::awaitable<bool> caller::operation() {
-    if (below(4) == 0) {
-        co_return co_await transaction();
+asio::awaitable<bool> caller::run_operation() {
+    if (random_below(4) == 0) {
+        co_return co_await run_transaction();
     }
-    co_return co_await single();
+    co_return co_await run_autocommit();
 }
 
-asio::awaitable<bool> caller::single() {
+asio::awaitable<bool> caller::run_autocommit() {
     std::string prepared;
-    auto text = statement(below(4) == 0, prepared);
-    const auto got = co_await ask(std::move(text), prepared);
-    if (got.answered && got.reply.state != sql::transaction_state::idle) {
-        m_promises.broken("states", got.reply.rows.front() + " outside a transaction ended in another state");
+    auto text = statement(random_below(4) == 0, prepared);
+    const auto result = co_await execute(std::move(text), prepared);
+    if (result.answered && result.reply.state != sql::transaction_state::idle) {
+        m_checker.report_violation("states",
+                                   result.reply.rows.front() + " outside a transaction ended in another state");
     }
-    co_return got.answered;
+    co_return result.answered;
 }
 
-asio::awaitable<bool> caller::transaction() {
-    const bool reads_only = below(3) == 0;
-    m_begun = boot_clock::now();
-    const auto begun = co_await ask(reads_only ? "BEGIN READ" : "BEGIN");
+asio::awaitable<bool> caller::run_transaction() {
+    const bool reads_only = random_below(3) == 0;
+    m_transaction_started_at = boot_clock::now();
+    const auto begun = co_await execute(reads_only ? "BEGIN READ" : "BEGIN");
     if (!begun.answered || !begun.reply.ok()) {
         co_return begun.answered;
     }
-    m_transaction = next_number();
+    m_transaction = next_id();
     std::vector<std::string> writes;
-    for (std::uint64_t left = 1 + below(5); left > 0; --left) {
+    for (std::uint64_t left = 1 + random_below(5); left > 0; --left) {
         std::string prepared;
-        const bool write = !reads_only && below(3) == 0;
+        const bool write = !reads_only && random_below(3) == 0;
         auto text = statement(write, prepared);
-        const auto got = co_await ask(std::move(text), prepared);
+        const auto result = co_await execute(std::move(text), prepared);
         if (write) {
-            writes.push_back(got.reply.rows.empty() ? got.reply.signature : got.reply.rows.front());
+            writes.push_back(result.reply.rows.empty() ? result.reply.signature : result.reply.rows.front());
         }
-        if (!got.answered) {
+        if (!result.answered) {
             co_return false;
         }
-        if (!got.reply.ok()) {
+        if (!result.reply.ok()) {
             break;
         }
-        if (below(60) == 0) {
+        if (random_below(60) == 0) {
             // The caller leaves in the middle.
             m_transaction = 0;
             co_return false;
         }
-        co_await sleep_for(std::chrono::milliseconds{below(longest_pause_ms)});
+        co_await sleep_for(std::chrono::milliseconds{random_below(max_pause_ms)});
     }
     co_return co_await end_transaction(writes);
 }
 
 asio::awaitable<bool> caller::end_transaction(const std::vector<std::string>& writes) {
-    const bool commits = below(5) != 0;
-    const auto got = co_await ask(commits ? "COMMIT" : "ROLLBACK");
+    const bool commits = random_below(5) != 0;
+    const auto result = co_await execute(commits ? "COMMIT" : "ROLLBACK");
     m_transaction = 0;
-    if (!got.answered) {
+    if (!result.answered) {
         co_return false;
     }
     if (commits) {
-        const auto* asked = m_promises.find(got.reply.rows.front());
-        judge(*asked, got, writes);
+        const auto* issued = m_checker.find_request(result.reply.rows.front());
+        record_outcome(*issued, result, writes);
     } else {
-        m_promises.promised_not_run(writes);
+        m_checker.record_refusal(writes);
     }
-    co_return got.reply.state == sql::transaction_state::idle;
+    co_return result.reply.state == sql::transaction_state::idle;
 }
 
-asio::awaitable<bool> caller::check(tcp::endpoint at, const database& on) {
-    const bool connected = co_await connect(at, on);
+asio::awaitable<bool> caller::probe(tcp::endpoint proxy, const database& target_database) {
+    const bool connected = co_await connect(proxy, target_database);
     if (!connected) {
         co_return false;
     }
-    const auto wrote = co_await ask("WRITE item1 data");
+    const auto wrote = co_await execute("WRITE item1 data");
     if (!wrote.answered || !wrote.reply.ok()) {
         co_return false;
     }
-    const auto read = co_await ask("READ item1");
+    const auto read = co_await execute("READ item1");
     co_return read.answered&& read.reply.ok();
 }
 
--- a/tests/soak/caller.hpp
+++ b/tests/soak/caller.hpp
@@ -23,15 +23,16 @@
     /// Where the balancer sends the next connection; nothing when nowhere.
     using balancer = std::function<std::optional<tcp::endpoint>()>;
     /// A connection ended while a request was unanswered.
-    using on_cut = std::function<void(const tcp::endpoint&, const request& asked)>;
+    using disconnect_handler = std::function<void(const tcp::endpoint&, const request& issued)>;
 
-    caller(promises& told, std::vector<database> databases, balancer next, on_cut cut, std::uint64_t seed);
+    caller(consistency_checker& checker, std::vector<database> databases, balancer pick_proxy,
+           disconnect_handler on_disconnect, std::uint64_t seed);
 
     /// Works until `stop` is set.
     asio::awaitable<void> run(const bool& stop);
 
     /// One write and one read through a proxy; whether both were served.
-    asio::awaitable<bool> check(tcp::endpoint at, const database& on);
+    asio::awaitable<bool> probe(tcp::endpoint proxy, const database& target_database);
 
 private:
     struct outcome {
@@ -39,29 +40,29 @@
         bool answered{false};
     };
 
-    asio::awaitable<bool> connect(tcp::endpoint at, const database& on);
-    asio::awaitable<outcome> ask(std::string text, std::string prepared = {});
-    asio::awaitable<void> session(const bool& stop);
-    asio::awaitable<bool> set_up();
-    asio::awaitable<bool> operation();
-    asio::awaitable<bool> single();
-    asio::awaitable<bool> transaction();
+    asio::awaitable<bool> connect(tcp::endpoint proxy, const database& target_database);
+    asio::awaitable<outcome> execute(std::string text, std::string prepared = {});
+    asio::awaitable<void> run_session(const bool& stop);
+    asio::awaitable<bool> prepare_session();
+    asio::awaitable<bool> run_operation();
+    asio::awaitable<bool> run_autocommit();
+    asio::awaitable<bool> run_transaction();
     asio::awaitable<bool> end_transaction(const std::vector<std::string>& writes);
     std::string statement(bool write, std::string& prepared);
-    void judge(const request& asked, const outcome& got, const std::vector<std::string>& writes);
-    [[nodiscard]] std::uint64_t below(std::uint64_t limit) { return m_random() % limit; }
+    void record_outcome(const request& issued, const outcome& result, const std::vector<std::string>& writes);
+    [[nodiscard]] std::uint64_t random_below(std::uint64_t limit) { return m_random() % limit; }
 
-    promises& m_promises;
+    consistency_checker& m_checker;
     std::vector<database> m_databases;
-    balancer m_next;
-    on_cut m_cut;
+    balancer m_pick_proxy;
+    disconnect_handler m_on_disconnect;
     std::mt19937_64 m_random;
     std::unique_ptr<platform::line_socket> m_lines;
-    tcp::endpoint m_at;
+    tcp::endpoint m_proxy;
     const database* m_database{nullptr};
     std::uint64_t m_session{0};
     std::uint64_t m_transaction{0};
-    time_point m_begun;
+    time_point m_transaction_started_at;
     std::map<std::string, std::string> m_values;
     std::map<std::string, std::string> m_prepared;
     platform::reply_decoder m_decoder;
--- a/tests/soak/proxy_process.cpp
+++ b/tests/soak/proxy_process.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-tcp::endpoint at(const std::string& ip, unsigned short port) {
+tcp::endpoint make_endpoint(const std::string& ip, unsigned short port) {
     return {asio::ip::make_address(ip), port};
 }
 
@@ -24,16 +24,17 @@
     : m_binary{std::move(binary)}
     , m_folder{std::move(folder)}
     , m_name{std::move(name)}
-    , m_callers{at(ip, 8001)}
-    , m_readiness{at(ip, 8002)}
-    , m_store_path{io, at(ip, 8010), store} {
+    , m_caller_endpoint{make_endpoint(ip, 8001)}
+    , m_readiness_endpoint{make_endpoint(ip, 8002)}
+    , m_store_forwarder{io, make_endpoint(ip, 8010), store} {
     std::ofstream file{m_folder / (m_name + ".ini")};
-    file << "[serve]\nname = " << m_name << "\ndata_center = " << data_center << "\ncallers = " << to_string(m_callers)
-         << "\nreadiness = " << to_string(m_readiness) << "\npeers = " << to_string(at(ip, 8003))
-         << "\nheartbeats = " << to_string(at(ip, 8004)) << "\nseeds = " << to_string(seed)
-         << "\nstore = " << to_string(m_store_path.address()) << "\norders = " << to_string(m_store_path.address())
-         << "\ngrace_s = 6\n";
-    m_store_path.open();
+    file << "[serve]\nname = " << m_name << "\ndata_center = " << data_center
+         << "\ncallers = " << to_string(m_caller_endpoint) << "\nreadiness = " << to_string(m_readiness_endpoint)
+         << "\npeers = " << to_string(make_endpoint(ip, 8003))
+         << "\nheartbeats = " << to_string(make_endpoint(ip, 8004)) << "\nseeds = " << to_string(seed)
+         << "\nstore = " << to_string(m_store_forwarder.address())
+         << "\norders = " << to_string(m_store_forwarder.address()) << "\ngrace_s = 6\n";
+    m_store_forwarder.accept_connections();
 }
 
 void proxy_process::start() {
@@ -48,8 +49,8 @@
     started_at = boot_clock::now();
     stopping_since.reset();
     paused_until.reset();
-    start_at.reset();
-    ready = false;
+    restart_at.reset();
+    in_rotation = false;
     missed_checks = 0;
 }
 
@@ -59,14 +60,14 @@
     }
 }
 
-std::optional<int> proxy_process::ended() {
+std::optional<int> proxy_process::poll_exit() {
     std::error_code ignored;
     if (m_child == nullptr || m_child->running(ignored)) {
         return std::nullopt;
     }
     const auto code = m_child->native_exit_code();
     m_child.reset();
-    ready = false;
+    in_rotation = false;
     return code;
 }
 
