--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Plays the fault soak: real proxies as processes, emulated servers and store,
-# faults from outside. Each seed is another order of faults, 45 s long.
-#   bash scripts/soak.sh FIRST [LAST]     these seeds
-#   bash scripts/soak.sh kept             those that once broke a promise
-#   bash scripts/soak.sh fresh COUNT      as many that were never played
-# Six at a time (SOAK_JOBS); SOAK_ARGS go to the program. Logs of a seed that
-# broke a promise stay in the folder that is printed (WORK).
+# Runs the fault soak: proxies as real processes, emulated servers and metadata
+# store, injected faults. Each seed gives another fault sequence; a run takes 45 s.
+#   bash scripts/soak.sh FIRST [LAST]     the seeds from FIRST to LAST
+#   bash scripts/soak.sh kept             the regression seeds in tests/soak/seeds.txt
+#   bash scripts/soak.sh fresh COUNT      COUNT random seeds
+# SOAK_JOBS is the number of parallel runs (default 6); SOAK_ARGS is passed to
+# the program. The logs of a failed seed stay in the work folder, which is
+# printed at the end and can be set with WORK.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 case ${1:-} in
@@ -15,9 +16,9 @@
 esac
 work=${WORK:-$(mktemp -d)}
 mkdir -p "$work"
-# A build meanwhile must not replace what restarts run.
+# Copies, so that a build during the run does not change what restarted proxies run.
 cp "$top/build/cornellever" "$top/build/cornellever_soak" "$work"
-play() {
+run_seed() {
   local work=$1 seed=$2 folder=$1/$2
   mkdir -p "$folder"
   # shellcheck disable=SC2086
@@ -25,11 +26,11 @@
     tail -1 "$folder/played.txt"
     rm -f "$folder"/*.log
   else
-    grep '^broken' "$folder/played.txt" | head -5 || tail -3 "$folder/played.txt"
-    echo "seed $seed broke a promise"
+    grep '^violation' "$folder/played.txt" | head -5 || tail -3 "$folder/played.txt"
+    echo "seed $seed violated a guarantee"
   fi
 }
-export -f play
-xargs -P "${SOAK_JOBS:-6}" -I{} bash -c 'play "$@"' _ "$work" {} <<<"$seeds" | tee "$work/summary.txt"
+export -f run_seed
+xargs -P "${SOAK_JOBS:-6}" -I{} bash -c 'run_seed "$@"' _ "$work" {} <<<"$seeds" | tee "$work/summary.txt"
 echo "folder $work"
-! grep -q 'broke a promise' "$work/summary.txt"
+! grep -q 'violated a guarantee' "$work/summary.txt"
--- a/tests/emulator/accept_each.hpp
+++ b/tests/emulator/accept_each.hpp
@@ -4,7 +4,7 @@
 
 namespace cornellever::emulator {
 
-/// Hands each connection to `take` until the acceptor is closed.
+/// Passes each accepted connection to `handler` until the acceptor is closed.
 template <std::invocable<tcp::socket> Handler>
 asio::awaitable<void> accept_each(tcp::acceptor& acceptor, Handler handler) {
     while (acceptor.is_open()) {
--- a/tests/emulator/consistency_checker.cpp
+++ b/tests/emulator/consistency_checker.cpp
@@ -17,7 +17,7 @@
 
 void consistency_checker::report_violation(std::string_view kind, const std::string& what) {
     ++m_violations;
-    std::printf("broken: %.*s: %s\n", static_cast<int>(kind.size()), kind.data(), what.c_str());
+    std::printf("violation: %.*s: %s\n", static_cast<int>(kind.size()), kind.data(), what.c_str());
     std::fflush(stdout);
 }
 
@@ -32,7 +32,8 @@
                              return item.signature == signature && item.row == row;
                          });
     if (!matched) {
-        report_violation("mixed", issued.id + " got " + signature + " / " + row + ", which no server answered to it");
+        report_violation("mismatched reply",
+                         issued.id + " got " + signature + " / " + row + ", which no server replied to it");
     }
 }
 
@@ -40,7 +41,8 @@
     for (const auto& id : writes) {
         m_refused_writes.insert(id);
         if (m_committed_writes.contains(id)) {
-            report_violation("refused", "write " + id + " is kept although its caller was told that it is not");
+            report_violation("refused write",
+                             "write " + id + " is committed although its caller was told that it is not");
         }
     }
 }
@@ -49,11 +51,13 @@
                                         sql::log_position position) {
     for (const auto& id : writes) {
         if (m_committed_writes.contains(id)) {
-            report_violation("twice", "write " + id + " at " + sql::to_string(m_committed_writes[id]) + " and " +
-                                          sql::to_string(position));
+            report_violation("duplicate write", "write " + id + " committed at " +
+                                                    sql::to_string(m_committed_writes[id]) + " and " +
+                                                    sql::to_string(position));
         }
         if (m_refused_writes.contains(id)) {
-            report_violation("refused", "write " + id + " committed after its caller was told that nothing is kept");
+            report_violation("refused write",
+                             "write " + id + " committed after its caller was told that it had no effect");
         }
         m_committed_writes[id] = position;
         m_service_by_write[id] = service;
@@ -78,7 +82,7 @@
     }
     const auto found = m_committed_writes.find(writes.front());
     if (found == m_committed_writes.end()) {
-        // Committed, and rolled back by a promotion before the answer arrived.
+        // Committed, and rolled back by a promotion before the reply arrived.
         ++m_rolled_back;
         return;
     }
@@ -89,7 +93,7 @@
     return "statements " + std::to_string(m_requests.size()) + ", successes " + std::to_string(m_successes) +
            ", reads checked " + std::to_string(m_reads_checked) + ", commits " +
            std::to_string(m_committed_writes.size()) + ", acknowledged commits rolled back by promotions " +
-           std::to_string(m_rolled_back) + ", promises broken " + std::to_string(m_violations);
+           std::to_string(m_rolled_back) + ", violations " + std::to_string(m_violations);
 }
 
 } // namespace cornellever::emulator
--- a/tests/emulator/consistency_checker.hpp
+++ b/tests/emulator/consistency_checker.hpp
@@ -14,10 +14,13 @@
 
 using time_point = boot_clock::time_point;
 
-/// How fresh a database's reads have to be, as the product's pages promise.
+/// The freshness guarantee of a database's reads: every commit acknowledged
+/// before the read began (`primary`), those acknowledged more than the maximum
+/// staleness before (`bounded`), or as `bounded` plus all commits of the same
+/// session (`own_writes`).
 enum class freshness { primary, bounded, own_writes };
 
-/// A database that callers may name.
+/// A database name that callers connect to, and the service behind it.
 struct database {
     std::string name;
     std::string service;
@@ -25,24 +28,24 @@
     std::chrono::milliseconds max_staleness{0};
 };
 
-/// A caller's statement, noted before its first byte is sent.
+/// A caller's statement, recorded before its first byte is sent.
 struct request {
     std::string id;
     std::string text;
     std::uint64_t session{0};
-    /// Of the caller's transaction; 0 outside one.
+    /// Identifies the caller's transaction; 0 outside one.
     std::uint64_t transaction{0};
     time_point sent_at;
-    /// When its transaction began, or when it was sent.
+    /// When its transaction began; outside one, when it was sent.
     time_point begun_at;
     const database* target{nullptr};
-    /// Values and prepared shapes that were acknowledged to the session.
+    /// Session variables whose setting was acknowledged.
     std::map<std::string, std::string> values;
-    /// For EXECUTE: READ or WRITE, and the shape.
+    /// For EXECUTE: the text of the prepared statement, which starts with READ or WRITE.
     std::string prepared;
 };
 
-/// A commit that was acknowledged to a caller.
+/// A commit that was acknowledged to a caller, and its position in the log.
 struct acknowledged_commit {
     sql::log_position position;
     time_point acknowledged_at;
@@ -50,36 +53,40 @@
     bool rolled_back{false};
 };
 
-/// Knows what callers asked and were told and what servers ran, and notes each
-/// promise that was broken.
+/// Compares the replies that callers receive with what the emulated servers
+/// executed, and reports each violation of a consistency guarantee.
 class consistency_checker {
 public:
-    /// A new statement; the reference stays valid.
+    /// Records a statement; the returned reference stays valid.
     request& record_request(request what);
     [[nodiscard]] const request* find_request(std::string_view id) const;
 
+    /// Counts and prints a violation.
     void report_violation(std::string_view kind, const std::string& what);
 
-    /// A server ran a caller's statement and answers with this proof and row.
+    /// A server executed a caller's statement and replies with this signature and row.
     void record_execution(const std::string& id, std::string signature, std::string row);
 
-    /// Whether any server ran a statement with this id.
+    /// Whether any server executed the statement with this id.
     [[nodiscard]] bool was_executed(const std::string& id) const { return m_executions.contains(id); }
 
-    /// A caller got a success.
+    /// Checks that a success a caller received is the reply of a server to that statement.
     void check_success(const request& issued, const std::string& signature, const std::string& row);
 
-    /// A caller was told that nothing of these write ids is kept.
+    /// A caller was told that none of these writes took effect; checks that this holds.
     void record_refusal(const std::vector<std::string>& writes);
 
-    /// Writes became part of a service's log at `at`, or were rolled back.
+    /// Writes were committed to a service's log at `position`; checks that each
+    /// is committed only once.
     void record_commit(const std::string& service, const std::vector<std::string>& writes, sql::log_position position);
+    /// A promotion discarded all log entries after the first `retained_entries`.
     void record_rollback(const std::string& service, std::uint64_t retained_entries);
 
-    /// A caller got the success of a commit of these writes.
+    /// A caller received the success of the commit of these writes.
     void record_acknowledged_commit(const request& issued, const std::vector<std::string>& writes);
 
-    /// A read ran on a log; `holds` tells whether it has a position.
+    /// Checks a read against the freshness guarantee of its database;
+    /// `has_applied` returns whether the server that ran it has applied a position.
     template <typename HasApplied>
     void check_read(const request& issued, HasApplied has_applied) {
         const auto& acknowledged = m_acknowledged[issued.target->service];
@@ -91,10 +98,10 @@
             const bool required =
                 !item.rolled_back && (item.acknowledged_at < bound || (own && item.acknowledged_at < issued.begun_at));
             if (required && !has_applied(item.position)) {
-                report_violation("stale",
+                report_violation("stale read",
                                  issued.id + " on " + issued.target->name + " lacks " + sql::to_string(item.position) +
                                      (own ? " of its own session" : "") + ", acknowledged " +
-                                     std::to_string(to_ms(issued.begun_at - item.acknowledged_at)) + " ms before");
+                                     std::to_string(to_ms(issued.begun_at - item.acknowledged_at)) + " ms earlier");
                 return;
             }
         }
@@ -113,7 +120,7 @@
     std::map<std::string, request, std::less<>> m_requests;
     std::map<std::string, std::vector<execution>, std::less<>> m_executions;
     std::map<std::string, std::vector<acknowledged_commit>, std::less<>> m_acknowledged;
-    /// Where each write stands in a log at present.
+    /// The log position of each write that is currently committed.
     std::map<std::string, sql::log_position, std::less<>> m_committed_writes;
     std::map<std::string, std::string, std::less<>> m_service_by_write;
     std::set<std::string, std::less<>> m_refused_writes;
--- a/tests/emulator/metadata_store.cpp
+++ b/tests/emulator/metadata_store.cpp
@@ -130,7 +130,7 @@
         }
         auto out = co_await handle(incoming);
         if (!out) {
-            // Nothing comes on this connection any more, and nothing says so.
+            // A lost response: the connection stays open without further data.
             co_await sleep_for(30s);
             co_return;
         }
--- a/tests/emulator/metadata_store.hpp
+++ b/tests/emulator/metadata_store.hpp
@@ -18,37 +18,39 @@
 
 namespace http = boost::beast::http;
 
-/// How the emulated store misbehaves at present.
+/// Faults that the emulated store currently injects.
 struct store_faults {
-    /// Answered to every call instead of doing it: 503 or 429; 0 when well.
+    /// HTTP status (503 or 429) returned to every call without executing it; 0: none.
     unsigned error_status{0};
     std::chrono::milliseconds delay{0};
-    /// Writes that are done and not answered.
+    /// Number of coming transactions that are executed but get no response.
     int dropped_responses{0};
-    /// Writes that are done a second later, if their condition still holds,
-    /// and not answered.
+    /// Number of coming transactions that are executed one second late, if their
+    /// expected versions still match then, and get no response.
     int delayed_writes{0};
 };
 
-/// The platform's metadata store and its promotion call, in memory, over HTTP.
+/// In-memory emulation of the platform's metadata store and promotion API over HTTP.
 class metadata_store {
 public:
-    /// Takes an order: service, server, holder, token; false when it is refused.
+    /// Handles a promotion request (service, server, token holder, fencing
+    /// token); returns false when it is refused.
     using promotion_handler =
         std::function<bool(const std::string&, const std::string&, const std::string&, std::uint64_t)>;
 
+    /// Starts serving; throws `std::runtime_error` when `listen` cannot be bound.
     metadata_store(asio::io_context& io, tcp::endpoint listen, promotion_handler promote);
 
-    /// Writes or removes a row as the operators and the servers do.
+    /// Writes or removes a row unconditionally, as operators and servers do.
     void put(const std::string& table, const std::string& key, const std::string& value);
     void remove(const std::string& table, const std::string& key);
+    /// Discards the change history, so that readers of changes have to start over.
     void drop_change_history() { m_changes.clear(); }
 
-    /// Goes back to how it was so long ago, as a store that is restored from a
-    /// copy: versions are given out again, in another era.
+    /// Restores the state of `age` ago, as a store that is recovered from a
+    /// backup: version numbers are reused, under a new era.
     void restore_snapshot(std::chrono::milliseconds age);
 
-    /// The keys of a table.
     [[nodiscard]] std::vector<std::string> keys(const std::string& table) const;
     [[nodiscard]] bool available() const noexcept { return faults.error_status == 0; }
 
--- a/tests/emulator/replicated_service.cpp
+++ b/tests/emulator/replicated_service.cpp
@@ -18,7 +18,7 @@
 constexpr auto replication_period = 15ms;
 constexpr auto statement_delay = 2ms;
 
-/// Where the server itself listens, behind its gateway.
+/// Where the server itself listens, behind its forwarder.
 tcp::endpoint server_endpoint(const tcp::endpoint& address) {
     return {address.address(), static_cast<unsigned short>(address.port() + 1000)};
 }
@@ -41,16 +41,17 @@
 
 struct emulated_server::session {
     char state{'I'};
-    /// A transaction that only the primary runs, and the term it began in.
+    /// The open transaction may write, so only the primary runs it; `term` is
+    /// the term it began in.
     bool read_write{false};
     std::uint64_t term{0};
-    /// Whose statements the open transaction holds, and which transaction.
+    /// The caller's session and transaction that the open transaction belongs to; 0: none yet.
     std::uint64_t owner{0};
     std::uint64_t transaction{0};
     std::vector<std::string> writes;
     std::map<std::string, std::string> values;
     std::map<std::string, std::string> prepared;
-    /// Answers nothing more: an answer was lost.
+    /// Sends no more replies, since one was dropped.
     bool unresponsive{false};
     platform::line_socket* connection{nullptr};
 
@@ -148,10 +149,10 @@
             co_await sleep_for(statement_delay);
         }
         if (!m_running || m_started_at != started_at) {
-            // The process that took the statement has crashed meanwhile.
+            // The server crashed after it had received the statement.
             break;
         }
-        const auto out = answer(client, std::move(*line));
+        const auto out = process_line(client, std::move(*line));
         if (!client.unresponsive) {
             connection.write(out);
         }
@@ -172,26 +173,26 @@
     return at.number == 0 || (at.number <= applied() && m_log[at.number - 1].term == at.term);
 }
 
-std::string emulated_server::ready(const session& client) const {
+std::string emulated_server::ready_line(const session& client) const {
     return std::string{"READY "} + client.state + " " + std::to_string(m_term) + "." + std::to_string(applied()) +
            "\r\n";
 }
 
-std::string emulated_server::refuse(session& client, std::string_view code) {
+std::string emulated_server::error_reply(session& client, std::string_view code) {
     if (client.state != 'I') {
         client.state = 'E';
     }
-    return "ERROR " + std::string{code} + " " + m_id + "\r\n" + ready(client);
+    return "ERROR " + std::string{code} + " " + m_id + "\r\n" + ready_line(client);
 }
 
-std::string emulated_server::answer(session& client, std::string line) {
+std::string emulated_server::process_line(session& client, std::string line) {
     take_word(line);
     const auto id = take_word(line);
     if (line.starts_with("AFTER ")) {
         take_word(line);
         const auto needed = platform::parse_position(take_word(line));
         if (!needed || !has_applied(*needed)) {
-            return refuse(client, "LAGGING");
+            return error_reply(client, "LAGGING");
         }
     }
     if (id == "-") {
@@ -199,11 +200,11 @@
     }
     const auto* issued = m_service.checker().find_request(id);
     if (issued == nullptr) {
-        m_service.checker().report_violation("unasked", m_id + " was sent " + id + " " + line);
-        return refuse(client, "FAILED");
+        m_service.checker().report_violation("unknown statement", m_id + " received " + id + " " + line);
+        return error_reply(client, "FAILED");
     }
     if (client.state == 'E') {
-        return refuse(client, "MALFORMED");
+        return error_reply(client, "MALFORMED");
     }
     auto out = run_caller_statement(client, *issued, line);
     if (dropped_replies > 0) {
@@ -215,15 +216,15 @@
 
 std::string emulated_server::begin(session& client, bool read_only) {
     if (client.state != 'I') {
-        return refuse(client, "MALFORMED");
+        return error_reply(client, "MALFORMED");
     }
     if (!read_only && !is_primary()) {
-        return refuse(client, "READONLY");
+        return error_reply(client, "READONLY");
     }
     client.state = 'T';
     client.read_write = !read_only;
     client.term = m_term;
-    return "COMPLETE -\r\n" + ready(client);
+    return "COMPLETE -\r\n" + ready_line(client);
 }
 
 std::string emulated_server::run_proxy_statement(session& client, const std::string& text) {
@@ -235,12 +236,12 @@
     if (word == "STATUS") {
         return "ROW " + std::string{is_primary() ? "primary" : "replica"} + " " + std::to_string(m_term) + " " +
                std::to_string(m_term) + "." + std::to_string(m_log.size()) + " 0 0 0 1\r\nCOMPLETE -\r\n" +
-               ready(client);
+               ready_line(client);
     }
     if (word == "ROLLBACK") {
         client.end_transaction();
     } else if (client.state == 'E') {
-        return refuse(client, "MALFORMED");
+        return error_reply(client, "MALFORMED");
     } else if (word == "SET") {
         const auto name = take_word(rest);
         client.values[name] = rest;
@@ -253,24 +254,27 @@
     } else if (word == "DEALLOCATE") {
         client.prepared.erase(rest);
     } else {
-        m_service.checker().report_violation("unasked", m_id + " was sent a statement of the proxy's own: " + text);
+        m_service.checker().report_violation("unknown statement",
+                                             m_id + " received a proxy statement it does not expect: " + text);
     }
-    return "COMPLETE -\r\n" + ready(client);
+    return "COMPLETE -\r\n" + ready_line(client);
 }
 
-/// The right transaction on the right connection, and never two callers' in one.
+/// Checks that the statement runs in its own transaction, that no transaction
+/// mixes callers, and that a draining server gets no new work.
 void emulated_server::check_transaction(session& client, const request& issued) {
     const bool in_transaction = client.state == 'T';
     if (in_transaction && client.owner != 0 &&
         (client.owner != issued.session || client.transaction != issued.transaction)) {
-        m_service.checker().report_violation("pinned",
+        m_service.checker().report_violation("wrong transaction",
                                              issued.id + " ran inside a transaction of another caller at " + m_id);
     }
     if (issued.transaction != 0 && !in_transaction) {
-        m_service.checker().report_violation("pinned", issued.id + " ran outside its transaction at " + m_id);
+        m_service.checker().report_violation("wrong transaction",
+                                             issued.id + " ran outside its transaction at " + m_id);
     }
     if (client.owner == 0 && no_new_work_after && boot_clock::now() > *no_new_work_after) {
-        m_service.checker().report_violation("drain", issued.id + " began at " + m_id + ", which is leaving");
+        m_service.checker().report_violation("drain", issued.id + " began at " + m_id + ", which is draining");
     }
     if (in_transaction) {
         client.owner = issued.session;
@@ -278,7 +282,8 @@
     }
 }
 
-/// The statement as its caller sent it, in a session like its caller's.
+/// Checks that the statement arrives as its caller sent it, with the session
+/// variables of its caller.
 void emulated_server::check_statement(const session& client, const request& issued, const std::string& text) {
     auto matches = text == issued.text;
     if (text.starts_with("EXECUTE ")) {
@@ -291,11 +296,12 @@
         matches = rest == expected && prepared != client.prepared.end() && prepared->second == issued.prepared;
     }
     if (!matches) {
-        m_service.checker().report_violation("unasked",
-                                             issued.id + " was '" + issued.text + "' and came as '" + text + "'");
+        m_service.checker().report_violation("altered statement",
+                                             issued.id + " was '" + issued.text + "' and arrived as '" + text + "'");
     }
     if (client.values != issued.values) {
-        m_service.checker().report_violation("pinned", issued.id + " ran with other session values at " + m_id);
+        m_service.checker().report_violation("session variables",
+                                             issued.id + " ran with other session variables at " + m_id);
     }
 }
 
@@ -303,49 +309,50 @@
     const bool lost_primary_role = client.read_write && (!is_primary() || client.term != m_term);
     if (text == "COMMIT") {
         if ((lost_primary_role || m_log_lost) && !client.writes.empty()) {
-            return refuse(client, "READONLY");
+            return error_reply(client, "READONLY");
         }
         return commit(client, issued);
     }
     const bool writes =
         text.starts_with("WRITE ") || (text.starts_with("EXECUTE ") && issued.prepared.starts_with("WRITE "));
-    // Without its log a server numbers its commits anew, which the promises
-    // could not tell from the old ones: it takes none.
+    // A server that lost its log would reuse log positions, which the checker
+    // could not tell from the old ones, so it accepts no writes.
     if (lost_primary_role || (writes && (!is_primary() || m_log_lost))) {
-        return refuse(client, "READONLY");
+        return error_reply(client, "READONLY");
     }
     check_transaction(client, issued);
     check_statement(client, issued, text);
     if (!writes) {
         m_service.checker().check_read(issued, [this](sql::log_position at) { return has_applied(at); });
-        return success(client, issued, "row-" + issued.id + "-" + std::to_string(applied()));
+        return success_reply(client, issued, "row-" + issued.id + "-" + std::to_string(applied()));
     }
     if (client.state == 'T') {
         client.writes.push_back(issued.id);
     } else {
         m_service.commit(*this, {issued.id});
     }
-    return success(client, issued, "");
+    return success_reply(client, issued, "");
 }
 
 std::string emulated_server::commit(session& client, const request& issued) {
     if (issued.text != "COMMIT" || client.state != 'T' || client.owner != issued.session ||
         client.transaction != issued.transaction) {
-        m_service.checker().report_violation("pinned", issued.id + " committed what is not its caller's at " + m_id);
-        return refuse(client, "FAILED");
+        m_service.checker().report_violation(
+            "wrong transaction", issued.id + " committed a transaction that is not its caller's at " + m_id);
+        return error_reply(client, "FAILED");
     }
     const auto writes = client.writes;
     client.end_transaction();
     if (!writes.empty()) {
         m_service.commit(*this, writes);
     }
-    return success(client, issued, "");
+    return success_reply(client, issued, "");
 }
 
-std::string emulated_server::success(session& client, const request& issued, const std::string& row) {
+std::string emulated_server::success_reply(session& client, const request& issued, const std::string& row) {
     const auto signature = m_id + "." + std::to_string(++m_signatures);
     m_service.checker().record_execution(issued.id, signature, row);
-    return (row.empty() ? "" : "ROW " + row + "\r\n") + "COMPLETE " + signature + "\r\n" + ready(client);
+    return (row.empty() ? "" : "ROW " + row + "\r\n") + "COMPLETE " + signature + "\r\n" + ready_line(client);
 }
 
 replicated_service::replicated_service(asio::io_context& io, consistency_checker& checker, std::string name,
@@ -404,8 +411,8 @@
     const auto found = std::ranges::find_if(m_servers, [&](const auto& item) { return item->id() == id; });
     const auto previous_holder = m_holders.emplace(token, holder).first->second;
     if (previous_holder != holder) {
-        m_checker.report_violation("one",
-                                   previous_holder + " and " + holder + " ordered with token " + std::to_string(token));
+        m_checker.report_violation("fencing token", previous_holder + " and " + holder +
+                                                        " requested promotions with token " + std::to_string(token));
     }
     if (token < m_token || found == m_servers.end() || !(*found)->running()) {
         return false;
@@ -423,7 +430,7 @@
         co_return;
     }
     candidate.m_term = ++m_term;
-    std::printf("%s leads %s in term %llu with %zu entries\n", candidate.m_id.c_str(), m_name.c_str(),
+    std::printf("%s is primary of %s in term %llu with %zu log entries\n", candidate.m_id.c_str(), m_name.c_str(),
                 static_cast<unsigned long long>(m_term), candidate.m_log.size());
     m_checker.record_rollback(m_name, candidate.m_log.size());
     m_primary->m_log_lost = false;
--- a/tests/emulator/replicated_service.hpp
+++ b/tests/emulator/replicated_service.hpp
@@ -15,17 +15,18 @@
 
 namespace cornellever::emulator {
 
-/// An entry of a log: the writes of one commit.
+/// A log entry: the writes of one commit.
 struct log_entry {
     std::uint64_t term{0};
     std::vector<std::string> writes;
-    /// When a replica applies it.
+    /// On a replica: when the entry is applied.
     time_point due;
 };
 
 class replicated_service;
 
-/// One emulated server of a service, behind a gateway that injects faults.
+/// An emulated backend server of a service, behind a forwarder that injects
+/// network faults.
 class emulated_server {
 public:
     emulated_server(asio::io_context& io, replicated_service& service, std::string id, std::string data_center,
@@ -36,25 +37,29 @@
     [[nodiscard]] tcp_forwarder& forwarder() noexcept { return m_forwarder; }
     [[nodiscard]] bool running() const noexcept { return m_running; }
     [[nodiscard]] bool is_primary() const;
+    /// Number of log entries received, applied or not.
     [[nodiscard]] std::uint64_t received() const noexcept { return m_log.size(); }
+    /// This server's row in the table of servers, as JSON text.
     [[nodiscard]] std::string registration() const;
 
     void start();
-    /// Connections end at once; the log stays.
+    /// Closes all connections at once and keeps the log.
     void crash();
-    /// As a crash, and the log is gone. It may go on leading; no replica takes
-    /// anything from it then.
+    /// Crashes and loses the log. A primary may keep its role after that, but
+    /// nothing is replicated from it.
     void crash_and_lose_log();
-    /// A new server at the same address takes over the log.
+    /// Gives the server a new identity, as if a new server took over its address and log.
     void assign_id(std::string id) { m_id = std::move(id); }
 
     bool draining{false};
-    /// No statement may begin here later: it has long said that it leaves.
+    /// After this time a new statement here is a violation: the server has been
+    /// draining for too long.
     std::optional<time_point> no_new_work_after{};
-    /// Receives nothing from the primary.
+    /// Receives no log entries from the primary.
     bool replication_stopped{false};
+    /// Replication lag: from receiving an entry to applying it.
     std::chrono::milliseconds lag{20};
-    /// Answers of callers' statements that are lost though they run.
+    /// Number of coming callers' statements that are executed but get no reply.
     int dropped_replies{0};
 
 private:
@@ -62,7 +67,7 @@
     struct session;
 
     asio::awaitable<void> serve(tcp::socket socket);
-    std::string answer(session& client, std::string line);
+    std::string process_line(session& client, std::string line);
     std::string run_proxy_statement(session& client, const std::string& text);
     std::string run_caller_statement(session& client, const request& issued, const std::string& text);
     std::string run_statement(session& client, const request& issued, const std::string& text);
@@ -70,9 +75,9 @@
     std::string begin(session& client, bool read_only);
     void check_transaction(session& client, const request& issued);
     void check_statement(const session& client, const request& issued, const std::string& text);
-    std::string success(session& client, const request& issued, const std::string& row);
-    std::string refuse(session& client, std::string_view code);
-    [[nodiscard]] std::string ready(const session& client) const;
+    std::string success_reply(session& client, const request& issued, const std::string& row);
+    std::string error_reply(session& client, std::string_view code);
+    [[nodiscard]] std::string ready_line(const session& client) const;
     [[nodiscard]] std::size_t applied() const;
     [[nodiscard]] bool has_applied(sql::log_position at) const;
 
@@ -88,12 +93,12 @@
     std::uint64_t m_signatures{0};
     bool m_running{false};
     bool m_log_lost{false};
-    /// Its last start, in Unix time.
+    /// Time of the last start since the Unix epoch.
     std::chrono::milliseconds m_started_at{0};
 };
 
-/// A service of one primary and its replicas: replication, promotion, and the
-/// tokens of the orders.
+/// An emulated service of one primary and its replicas: asynchronous log
+/// replication, and promotions guarded by fencing tokens.
 class replicated_service {
 public:
     replicated_service(asio::io_context& io, consistency_checker& checker, std::string name,
@@ -106,10 +111,11 @@
     [[nodiscard]] std::uint64_t term() const noexcept { return m_term; }
     [[nodiscard]] bool is_primary(const emulated_server& server) const { return m_primary == &server; }
 
-    /// An order to promote: false when it is fenced or the server is down.
+    /// Starts the promotion of server `id`; false when the token is older than
+    /// the newest one seen, or the server is unknown or down.
     bool promote(const std::string& id, const std::string& holder, std::uint64_t token);
 
-    /// Adds a commit to the primary's log and sends it to the replicas.
+    /// Appends a commit to the log of the server `at`, from where it is replicated.
     void commit(emulated_server& at, std::vector<std::string> writes);
 
     std::size_t max_connections{16};
--- a/tests/emulator/tcp_forwarder.cpp
+++ b/tests/emulator/tcp_forwarder.cpp
@@ -24,9 +24,9 @@
     tcp::socket client;
     tcp::socket server;
     std::uint64_t number;
-    /// The first bytes, which tell who connected.
+    /// The first chunk from the client; it identifies who connected.
     std::string first_bytes;
-    /// Bytes were lost: those behind them never arrive either.
+    /// Bytes were dropped, so no later byte may be delivered either.
     bool blackholed{false};
 };
 
@@ -97,8 +97,8 @@
     m_connections.erase(connection);
 }
 
-/// Servers drop a connection whose other end is out of reach; its own end
-/// hears nothing of that.
+/// Servers close a connection whose peer is unreachable; the client receives
+/// no notice of it.
 asio::awaitable<void> tcp_forwarder::close_server_side(std::shared_ptr<forwarded_connection> connection) {
     constexpr std::chrono::seconds dropped_after{3};
     co_await sleep_for(dropped_after);
--- a/tests/emulator/tcp_forwarder.hpp
+++ b/tests/emulator/tcp_forwarder.hpp
@@ -11,34 +11,40 @@
 
 namespace cornellever::emulator {
 
-/// What a gateway does to the bytes that pass it.
+/// Network faults that a `tcp_forwarder` applies to the bytes it forwards.
 struct network_faults {
-    /// Connections opened before are silent for good; new ones work.
+    /// Connections with a smaller number are blackholed: every byte is dropped
+    /// and the client's side stays open. Later connections work.
     std::uint64_t blackholed_before{0};
-    /// Nothing passes, and nothing says so, until then.
+    /// Until this time all bytes are dropped without an error to either end.
     boot_clock::time_point partitioned_until{};
-    /// Only what comes back is lost.
+    /// During a partition, drops only bytes from the server to the client.
     bool drop_replies_only{false};
-    /// Only for connections whose first bytes contain one of these; all when empty.
+    /// Limits the partition to connections whose first bytes contain one of
+    /// these strings; empty: all connections.
     std::set<std::string> match_first_bytes{};
+    /// Added to each chunk in either direction.
     std::chrono::milliseconds delay{0};
 };
 
-/// A loopback proxy: passes connections on to a target and injects faults.
+/// Accepts TCP connections on one endpoint, forwards them to another, and
+/// injects network faults in between.
 class tcp_forwarder {
 public:
     tcp_forwarder(asio::io_context& io, tcp::endpoint listen, tcp::endpoint target);
 
     [[nodiscard]] const tcp::endpoint& address() const noexcept { return m_listen; }
 
-    /// Stops listening, so that new connections are refused, or goes on.
+    /// Listens; throws `std::runtime_error` when the address cannot be bound.
     void accept_connections();
+    /// Stops listening, so that new connections are refused, and resets open ones.
     void refuse_connections();
 
-    /// Resets every connection.
+    /// Resets every open connection (TCP RST).
     void reset_connections();
-    /// Connections that are open now go silent for good.
+    /// Drops everything on the connections open now, for the rest of their life.
     void blackhole_open_connections() { faults.blackholed_before = m_last_number + 1; }
+    /// Starts a partition of this length; see `network_faults` for its scope.
     void partition_for(std::chrono::milliseconds span, bool drop_replies_only, std::set<std::string> match_first_bytes);
 
     network_faults faults;
