--- a/tests/soak/caller.cpp
+++ b/tests/soak/caller.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-/// A route's statement timeout, and what the proxy may take beyond it.
+/// A route's statement timeout (1.2 s) plus the time the proxy may need beyond it.
 constexpr auto reply_timeout = 4s;
 constexpr auto max_pause_ms = 30;
 
@@ -34,13 +34,13 @@
     , m_random{seed} {}
 
 asio::awaitable<bool> caller::connect(tcp::endpoint proxy, const database& target_database) {
-    m_lines.reset();
+    m_connection.reset();
     auto socket =
         co_await platform::connect_until(co_await asio::this_coro::executor, proxy, boot_clock::now() + 500ms);
     if (!socket) {
         co_return false;
     }
-    m_lines = std::make_unique<platform::line_socket>(std::move(*socket));
+    m_connection = std::make_unique<platform::line_socket>(std::move(*socket));
     m_proxy = proxy;
     m_database = &target_database;
     m_session = next_id();
@@ -48,8 +48,8 @@
     m_values.clear();
     m_prepared.clear();
     m_decoder = {};
-    m_lines->write("STARTUP " + target_database.name + " caller\r\n");
-    const auto line = co_await m_lines->next_line(boot_clock::now() + 2s);
+    m_connection->write("STARTUP " + target_database.name + " caller\r\n");
+    const auto line = co_await m_connection->next_line(boot_clock::now() + 2s);
     co_return line && line->starts_with("READY");
 }
 
@@ -66,19 +66,19 @@
                                              .prepared = std::move(prepared)});
     outcome out;
     out.reply.signature = issued.id;
-    if (!m_lines->write("QUERY " + issued.id + " " + text + "\r\n")) {
-        // Nothing was sent.
+    if (!m_connection->write("QUERY " + issued.id + " " + text + "\r\n")) {
+        // Nothing was sent, so the statement cannot have run.
         co_return out;
     }
     for (;;) {
-        const auto line = co_await m_lines->next_line(now + reply_timeout);
+        const auto line = co_await m_connection->next_line(now + reply_timeout);
         if (!line) {
             m_on_disconnect(m_proxy, issued);
             co_return out;
         }
         const auto step = m_decoder.take(*line);
         if (step == platform::reply_decoder::step::garbled) {
-            m_checker.report_violation("whole answer", issued.id + " was answered '" + *line + "'");
+            m_checker.report_violation("malformed reply", issued.id + " was answered with '" + *line + "'");
             co_return out;
         }
         if (step == platform::reply_decoder::step::done) {
@@ -86,7 +86,7 @@
         }
     }
     out.reply = m_decoder.finish();
-    out.answered = true;
+    out.replied = true;
     const bool has_checked_result =
         text.starts_with("READ ") || text.starts_with("WRITE ") || text.starts_with("EXECUTE ") || text == "COMMIT";
     if (has_checked_result && out.reply.ok()) {
@@ -101,7 +101,7 @@
 }
 
 void caller::record_outcome(const request& issued, const outcome& result, const std::vector<std::string>& writes) {
-    if (!result.answered) {
+    if (!result.replied) {
         return;
     }
     if (result.reply.ok()) {
@@ -135,19 +135,19 @@
         co_await sleep_for(std::chrono::milliseconds{random_below(max_pause_ms)});
     }
     if (usable) {
-        m_lines->write("TERMINATE\r\n");
+        m_connection->write("TERMINATE\r\n");
     }
-    m_lines.reset();
+    m_connection.reset();
 }
 
-/// Values and prepared statements of the session's own; names collide with
-/// those of other sessions.
+/// Sets session variables and prepares statements; the names collide with those
+/// of other sessions on purpose.
 asio::awaitable<bool> caller::prepare_session() {
     for (std::uint64_t i = random_below(3); i > 0; --i) {
         const auto name = "v" + std::to_string(random_below(3));
         const auto value = std::to_string(random_below(4));
         const auto result = co_await execute("SET " + name + " " + value);
-        if (!result.answered || !result.reply.ok()) {
+        if (!result.replied || !result.reply.ok()) {
             co_return false;
         }
         m_values[name] = value;
@@ -157,7 +157,7 @@
         const auto shape =
             std::string{random_below(2) == 0 ? "READ" : "WRITE"} + " shape" + std::to_string(random_below(6));
         const auto result = co_await execute("PREPARE " + name + " " + shape);
-        if (!result.answered || !result.reply.ok()) {
+        if (!result.replied || !result.reply.ok()) {
             co_return false;
         }
         m_prepared[name] = shape;
@@ -186,19 +186,19 @@
     std::string prepared;
     auto text = statement(random_below(4) == 0, prepared);
     const auto result = co_await execute(std::move(text), prepared);
-    if (result.answered && result.reply.state != sql::transaction_state::idle) {
-        m_checker.report_violation("states",
-                                   result.reply.rows.front() + " outside a transaction ended in another state");
+    if (result.replied && result.reply.state != sql::transaction_state::idle) {
+        m_checker.report_violation("transaction state",
+                                   result.reply.rows.front() + " outside a transaction did not end in the idle state");
     }
-    co_return result.answered;
+    co_return result.replied;
 }
 
 asio::awaitable<bool> caller::run_transaction() {
     const bool reads_only = random_below(3) == 0;
     m_transaction_started_at = boot_clock::now();
     const auto begun = co_await execute(reads_only ? "BEGIN READ" : "BEGIN");
-    if (!begun.answered || !begun.reply.ok()) {
-        co_return begun.answered;
+    if (!begun.replied || !begun.reply.ok()) {
+        co_return begun.replied;
     }
     m_transaction = next_id();
     std::vector<std::string> writes;
@@ -210,14 +210,14 @@
         if (write) {
             writes.push_back(result.reply.rows.empty() ? result.reply.signature : result.reply.rows.front());
         }
-        if (!result.answered) {
+        if (!result.replied) {
             co_return false;
         }
         if (!result.reply.ok()) {
             break;
         }
         if (random_below(60) == 0) {
-            // The caller leaves in the middle.
+            // The caller disconnects in the middle of its transaction.
             m_transaction = 0;
             co_return false;
         }
@@ -230,7 +230,7 @@
     const bool commits = random_below(5) != 0;
     const auto result = co_await execute(commits ? "COMMIT" : "ROLLBACK");
     m_transaction = 0;
-    if (!result.answered) {
+    if (!result.replied) {
         co_return false;
     }
     if (commits) {
@@ -248,11 +248,11 @@
         co_return false;
     }
     const auto wrote = co_await execute("WRITE item1 data");
-    if (!wrote.answered || !wrote.reply.ok()) {
+    if (!wrote.replied || !wrote.reply.ok()) {
         co_return false;
     }
     const auto read = co_await execute("READ item1");
-    co_return read.answered&& read.reply.ok();
+    co_return read.replied&& read.reply.ok();
 }
 
 } // namespace cornellever::soak
--- a/tests/soak/caller.hpp
+++ b/tests/soak/caller.hpp
@@ -16,28 +16,29 @@
 
 using namespace emulator;
 
-/// One caller: opens sessions at whichever proxy it is given, works, and
-/// compares what it is told with what the servers did.
+/// A simulated caller: opens sessions at the proxies the load balancer picks,
+/// runs random statements and transactions, and passes every reply to the
+/// consistency checker.
 class caller {
 public:
-    /// Where the balancer sends the next connection; nothing when nowhere.
+    /// Returns the proxy for the next connection, or nothing when there is none.
     using balancer = std::function<std::optional<tcp::endpoint>()>;
-    /// A connection ended while a request was unanswered.
+    /// Called when a connection ended or timed out while a request had no reply.
     using disconnect_handler = std::function<void(const tcp::endpoint&, const request& issued)>;
 
     caller(consistency_checker& checker, std::vector<database> databases, balancer pick_proxy,
            disconnect_handler on_disconnect, std::uint64_t seed);
 
-    /// Works until `stop` is set.
+    /// Runs sessions until `stop` is set.
     asio::awaitable<void> run(const bool& stop);
 
-    /// One write and one read through a proxy; whether both were served.
+    /// Runs one write and one read through a proxy; returns whether both succeeded.
     asio::awaitable<bool> probe(tcp::endpoint proxy, const database& target_database);
 
 private:
     struct outcome {
         sql::reply reply;
-        bool answered{false};
+        bool replied{false};
     };
 
     asio::awaitable<bool> connect(tcp::endpoint proxy, const database& target_database);
@@ -57,7 +58,7 @@
     balancer m_pick_proxy;
     disconnect_handler m_on_disconnect;
     std::mt19937_64 m_random;
-    std::unique_ptr<platform::line_socket> m_lines;
+    std::unique_ptr<platform::line_socket> m_connection;
     tcp::endpoint m_proxy;
     const database* m_database{nullptr};
     std::uint64_t m_session{0};
--- a/tests/soak/proxy_process.cpp
+++ b/tests/soak/proxy_process.cpp
@@ -41,8 +41,8 @@
     namespace process = boost::process;
     const auto log = m_folder / (m_name + ".log");
     auto* out = std::fopen(log.c_str(), "ae");
-    // Sockets of the emulated servers must not live on in the child when they
-    // are closed here.
+    // The child must not inherit the sockets of the emulated servers: they would
+    // stay open there after they are closed here.
     m_child = std::make_unique<process::child>(m_binary, "serve", "--settings", (m_folder / (m_name + ".ini")).string(),
                                                process::std_out > out, process::std_err > out, process::limit_handles);
     std::fclose(out);
--- a/tests/soak/proxy_process.hpp
+++ b/tests/soak/proxy_process.hpp
@@ -15,16 +15,18 @@
 
 using namespace emulator;
 
-/// One real proxy process, with its own gateways to the store.
+/// A proxy under test, run as a process of its own, with a fault-injecting
+/// forwarder between it and the metadata store.
 class proxy_process {
 public:
     proxy_process(asio::io_context& io, std::string binary, std::filesystem::path folder, std::string name,
                   std::string data_center, const std::string& ip, const tcp::endpoint& seed,
                   const tcp::endpoint& store);
 
+    /// Starts the process; its output is appended to a log file in the folder.
     void start();
     void signal(int number);
-    /// Notices an end; returns the exit code once.
+    /// Polls for the end of the process; returns its wait status once.
     [[nodiscard]] std::optional<int> poll_exit();
 
     [[nodiscard]] bool running() const noexcept { return m_child != nullptr; }
@@ -33,13 +35,13 @@
     [[nodiscard]] const tcp::endpoint& readiness_endpoint() const noexcept { return m_readiness_endpoint; }
     [[nodiscard]] tcp_forwarder& store_forwarder() noexcept { return m_store_forwarder; }
 
-    /// In the balancer's rotation.
+    /// Whether the load balancer sends new connections here.
     bool in_rotation{false};
     int missed_checks{0};
     time_point started_at{};
-    /// Asked to stop by plan.
+    /// When a planned stop was requested.
     std::optional<time_point> stopping_since{};
-    /// Stopped by a signal until then.
+    /// The process is suspended (SIGSTOP) until this time.
     std::optional<time_point> paused_until{};
     std::optional<time_point> restart_at{};
 
--- a/tests/soak/scenario.cpp
+++ b/tests/soak/scenario.cpp
@@ -14,18 +14,22 @@
 
 using namespace std::chrono_literals;
 
-/// A proxy that is asked to stop ends within its grace period.
+/// A proxy has to end within this time after SIGTERM (`grace_s` of its settings).
 constexpr auto grace_period = 6s;
-/// Only without an unplanned fault for so long is a cut request the stop's.
+/// An interrupted request counts as a violation of a planned stop only when no
+/// unplanned fault occurred for this long.
 constexpr auto quiet_period = 4s;
-/// A request that waited longer for its answer had been read.
+/// A request without a reply for longer than this had been read by the proxy.
 constexpr auto in_flight_allowance = 200ms;
-/// From the start of a process until it takes signals.
+/// From the start of a process until its signal handlers are installed.
 constexpr auto startup_time = 150ms;
-/// Servers are told to get nothing new by then, and leave a little later.
-constexpr auto drain_deadline = 7000ms;
+/// No statement may begin at a server this long after it started draining; the
+/// server stops shortly after that.
+constexpr auto new_work_cutoff = 7000ms;
 constexpr auto drain_duration = 7500ms;
+/// The row of a server that is down is removed after this time.
 constexpr auto registration_ttl = 3600ms;
+/// Time without faults after which all services have to work again.
 constexpr auto recovery_time = 10s;
 
 } // namespace
@@ -145,11 +149,12 @@
     }
     if (const auto code = proxy.poll_exit()) {
         const bool killed = WIFSIGNALED(*code) && WTERMSIG(*code) == SIGKILL;
-        // Asked to stop while the program was still being loaded.
+        // SIGTERM arrived while the program was still being loaded.
         const bool not_yet_handling_signals =
             proxy.stopping_since && *proxy.stopping_since - proxy.started_at < startup_time && *code == SIGTERM;
         if (!killed && !not_yet_handling_signals && !(proxy.stopping_since && *code == 0)) {
-            m_checker.report_violation("exit", proxy.name() + " ended by itself with status " + std::to_string(*code));
+            m_checker.report_violation("exit",
+                                       proxy.name() + " exited unexpectedly with status " + std::to_string(*code));
         }
         proxy.stopping_since.reset();
         proxy.restart_at = now + random_between(200, 900);
@@ -159,7 +164,7 @@
     }
 }
 
-asio::awaitable<void> scenario::maintain() {
+asio::awaitable<void> scenario::supervise_all() {
     for (;;) {
         for (auto& item : m_proxies) {
             supervise(*item);
@@ -173,7 +178,8 @@
     }
 }
 
-/// The balancer's question: out of rotation after two misses.
+/// The load balancer's readiness probe: two failures in a row take a proxy out
+/// of rotation.
 asio::awaitable<void> scenario::poll_readiness(proxy_process& proxy) {
     for (;;) {
         platform::http_client client{m_io.get_executor(), proxy.readiness_endpoint()};
@@ -201,12 +207,13 @@
 
 void scenario::check_disconnect(const tcp::endpoint& proxy, const request& issued) {
     const auto now = boot_clock::now();
-    // A close may cross with a request on its way, which the proxy never read.
+    // A close may cross with a request in flight, which the proxy never read.
     const bool was_read = m_checker.was_executed(issued.id) || now - issued.sent_at > in_flight_allowance;
     for (const auto& item : m_proxies) {
         const bool stopping = item->caller_endpoint() == proxy && item->stopping_since;
         if (stopping && was_read && now - m_last_unplanned_fault_at > quiet_period) {
-            m_checker.report_violation("lost", issued.id + " was cut by the planned stop of " + item->name());
+            m_checker.report_violation("interrupted request",
+                                       issued.id + " was interrupted by the planned stop of " + item->name());
         }
     }
 }
@@ -218,7 +225,7 @@
     server.draining = true;
     const auto started_at = boot_clock::now();
     if (started_at - m_last_unplanned_fault_at > quiet_period) {
-        server.no_new_work_after = started_at + drain_deadline;
+        server.no_new_work_after = started_at + new_work_cutoff;
     }
     schedule(drain_duration, [this, &server] {
         server.crash();
@@ -239,29 +246,29 @@
             proxy.signal(SIGTERM);
         }
     };
-    m_faults.push_back({"stop one by plan", true, [this, stop_one] {
+    m_faults.push_back({"planned stop of a proxy", true, [this, stop_one] {
                             auto& proxy = random_proxy();
                             stop_one(proxy);
                             return proxy.name();
                         }});
-    m_faults.push_back({"stop two in turn", true, [this, stop_one] {
+    m_faults.push_back({"planned stop of two proxies", true, [this, stop_one] {
                             auto& first = random_proxy();
                             auto& second = random_proxy();
                             stop_one(first);
                             schedule(1500ms, [&second, stop_one] { stop_one(second); });
                             return first.name() + " " + second.name();
                         }});
-    m_faults.push_back({"settings again", true, [this] {
+    m_faults.push_back({"settings reload", true, [this] {
                             auto& proxy = random_proxy();
                             proxy.signal(SIGHUP);
                             return proxy.name();
                         }});
-    m_faults.push_back({"kill one", false, [this] {
+    m_faults.push_back({"proxy killed", false, [this] {
                             auto& proxy = random_proxy();
                             proxy.signal(SIGKILL);
                             return proxy.name();
                         }});
-    m_faults.push_back({"kill many", false, [this] {
+    m_faults.push_back({"several proxies killed", false, [this] {
                             for (auto& item : m_proxies) {
                                 if (random_below(3) != 0) {
                                     item->signal(SIGKILL);
@@ -269,7 +276,7 @@
                             }
                             return std::string{};
                         }});
-    m_faults.push_back({"pause one", false, [this] {
+    m_faults.push_back({"proxy paused", false, [this] {
                             auto& proxy = random_proxy();
                             proxy.signal(SIGSTOP);
                             proxy.paused_until = boot_clock::now() + random_between(200, 3000);
@@ -278,9 +285,9 @@
 }
 
 void scenario::list_server_faults() {
-    m_faults.push_back({"server leaves", true, [this] { return drain_server(random_server()); }});
-    m_faults.push_back({"primary leaves", true, [this] { return drain_server(random_service().primary()); }});
-    m_faults.push_back({"primary crashes", false, [this] {
+    m_faults.push_back({"server drained", true, [this] { return drain_server(random_server()); }});
+    m_faults.push_back({"primary drained", true, [this] { return drain_server(random_service().primary()); }});
+    m_faults.push_back({"primary crash", false, [this] {
                             auto& server = random_service().primary();
                             if (server.draining || !server.running()) {
                                 return std::string{"-"};
@@ -289,35 +296,35 @@
                             schedule(random_between(500, 5000), [&server] { server.start(); });
                             return server.id();
                         }});
-    m_faults.push_back({"replica gets nothing", false, [this] {
+    m_faults.push_back({"replication stopped", false, [this] {
                             auto& server = random_server();
                             server.replication_stopped = true;
                             schedule(random_between(500, 4000), [&server] { server.replication_stopped = false; });
                             return server.id();
                         }});
-    m_faults.push_back({"replica applies late", false, [this] {
+    m_faults.push_back({"replication lag", false, [this] {
                             auto& server = random_server();
                             server.lag = random_between(200, 3000);
                             schedule(3s, [&server] { server.lag = 20ms; });
                             return server.id();
                         }});
-    m_faults.push_back({"server loses answers", false, [this] {
+    m_faults.push_back({"server replies dropped", false, [this] {
                             auto& server = random_server();
                             server.dropped_replies += static_cast<int>(1 + random_below(4));
                             return server.id();
                         }});
-    m_faults.push_back({"connections to server reset", false, [this] {
+    m_faults.push_back({"server connections reset", false, [this] {
                             auto& server = random_server();
                             server.forwarder().reset_connections();
                             return server.id();
                         }});
-    m_faults.push_back({"connections to server silent", false, [this] {
+    m_faults.push_back({"server connections blackholed", false, [this] {
                             auto& server = random_server();
                             server.forwarder().blackhole_open_connections();
                             return server.id();
                         }});
     m_faults.push_back(
-        {"server cut off", false, [this] {
+        {"server partitioned", false, [this] {
              auto& server = random_server();
              std::set<std::string> match_first_bytes;
              if (random_below(2) == 0) {
@@ -326,7 +333,7 @@
              server.forwarder().partition_for(random_between(300, 4000), random_below(3) == 0, match_first_bytes);
              return server.id() + " " + (match_first_bytes.empty() ? "from all" : "from" + *match_first_bytes.begin());
          }});
-    m_faults.push_back({"server far away", false, [this] {
+    m_faults.push_back({"server latency", false, [this] {
                             auto& server = random_server();
                             server.forwarder().faults.delay = random_between(20, 300);
                             schedule(2s, [&server] { server.forwarder().faults.delay = 0ms; });
@@ -335,12 +342,12 @@
 }
 
 void scenario::list_store_faults() {
-    m_faults.push_back({"configuration changes", true, [this] {
+    m_faults.push_back({"configuration change", true, [this] {
                             m_config_version += 1 + random_below(5);
                             publish_configuration();
                             return std::to_string(m_config_version);
                         }});
-    m_faults.push_back({"store down", false, [this] {
+    m_faults.push_back({"store unavailable", false, [this] {
                             m_store->faults.error_status = random_below(2) == 0 ? 503 : 429;
                             schedule(random_between(500, 5000), [this] { m_store->faults.error_status = 0; });
                             return std::string{};
@@ -350,21 +357,21 @@
                             schedule(3s, [this] { m_store->faults.delay = 0ms; });
                             return std::string{};
                         }});
-    m_faults.push_back({"store loses answers", false, [this] {
+    m_faults.push_back({"store responses dropped", false, [this] {
                             m_store->faults.dropped_responses += static_cast<int>(1 + random_below(3));
                             m_store->faults.delayed_writes += static_cast<int>(random_below(3));
                             return std::string{};
                         }});
-    m_faults.push_back({"history dropped", false, [this] {
+    m_faults.push_back({"store change history dropped", false, [this] {
                             m_store->drop_change_history();
                             return std::string{};
                         }});
-    m_faults.push_back({"one proxy cut off from the store", false, [this] {
+    m_faults.push_back({"proxy partitioned from the store", false, [this] {
                             auto& proxy = random_proxy();
                             proxy.store_forwarder().partition_for(random_between(500, 5000), random_below(3) == 0, {});
                             return proxy.name();
                         }});
-    m_faults.push_back({"connections to the store silent", false, [this] {
+    m_faults.push_back({"store connections blackholed", false, [this] {
                             for (auto& item : m_proxies) {
                                 item->store_forwarder().blackhole_open_connections();
                             }
@@ -372,7 +379,8 @@
                         }});
 }
 
-/// What another writer may put into the table of servers.
+/// A malformed or unexpected row, as another program might write it into the
+/// table of servers.
 std::string scenario::malformed_row() {
     static const std::array<std::string, 9> rows{
         std::string{},
@@ -397,21 +405,21 @@
         auto& service = *m_services[independent_below(m_services.size())];
         return *service.servers()[independent_below(service.servers().size())];
     };
-    m_independent_faults.push_back({"row of another writer", true, [this] {
+    m_independent_faults.push_back({"foreign row in the server table", true, [this] {
                                         const auto key = "stray-" + std::to_string(independent_below(3));
                                         m_store->put("servers", key, malformed_row());
                                         schedule(std::chrono::milliseconds{500 + independent_below(2500)},
                                                  [this, key] { m_store->remove("servers", key); });
                                         return key;
                                     }});
-    m_independent_faults.push_back({"server's row overwritten", false, [this, independent_server] {
+    m_independent_faults.push_back({"server row overwritten", false, [this, independent_server] {
                                         auto& server = independent_server();
                                         m_store->put("servers", server.id(), malformed_row());
                                         schedule(std::chrono::milliseconds{300 + independent_below(2500)},
                                                  [this, &server] { m_published.erase(server.id()); });
                                         return server.id();
                                     }});
-    m_independent_faults.push_back({"server starts again with nothing", false, [this, independent_server] {
+    m_independent_faults.push_back({"server restarted with an empty log", false, [this, independent_server] {
                                         auto& server = independent_server();
                                         if (server.draining || !server.running()) {
                                             return std::string{"-"};
@@ -423,9 +431,10 @@
                                     }});
 }
 
-/// A primary starts again with nothing, before, while and after some, most or
-/// all proxies are killed; at times a second server of the service does too.
-asio::awaitable<void> scenario::log_loss_phase() {
+/// A primary restarts with an empty log shortly before, while or after some,
+/// most or all proxies are killed; in some rounds a second server of the
+/// service does too.
+asio::awaitable<void> scenario::run_log_loss_phase() {
     const auto draw = [this](std::uint64_t limit) { return m_log_loss_random() % limit; };
     const auto started_at = boot_clock::now();
     for (int round = 0; round < m_settings.log_loss_rounds; ++round) {
@@ -452,15 +461,17 @@
             schedule(log_loss_delay + std::chrono::milliseconds{500 + draw(3000)},
                      [&second, lose_log] { lose_log(second); });
         }
-        std::printf("%6lld ms %s loses its log after %lld ms, away for %lld; %llu of 4 proxies killed after %lld\n",
+        std::printf("%6lld ms primary of %s loses its log after %lld ms, down for %lld ms; %llu of 4 proxies killed "
+                    "after %lld ms\n",
                     to_ms(boot_clock::now() - started_at), service.name().c_str(), to_ms(log_loss_delay),
                     to_ms(downtime), static_cast<unsigned long long>(killed_of_four), to_ms(kill_delay));
         co_await sleep_for(std::chrono::milliseconds{4000 + draw(3000)});
     }
 }
 
-/// What the operator and the servers wrote since is written again; rows of
-/// servers that have gone meanwhile go again.
+/// Restores the store from a snapshot. After that the operator's configuration
+/// and the servers' registrations are written again, and rows of servers that
+/// no longer exist are removed.
 void scenario::restore_store(std::chrono::milliseconds age) {
     m_store->restore_snapshot(age);
     m_published.clear();
@@ -477,9 +488,10 @@
     });
 }
 
-/// The store is away for a moment and returns from a copy some seconds old, twice
-/// in a row at times, while configurations change and primaries crash.
-asio::awaitable<void> scenario::store_restore_phase() {
+/// The store is unavailable for a short time and is restored from a snapshot
+/// some seconds old, in some rounds twice in a row, while the configuration
+/// changes and primaries crash.
+asio::awaitable<void> scenario::run_store_restore_phase() {
     const auto draw = [this](std::uint64_t limit) { return m_store_restore_random() % limit; };
     for (int round = 0; round < m_settings.store_restore_rounds; ++round) {
         record_unplanned_fault();
@@ -508,7 +520,7 @@
         if (repeat) {
             schedule(down + std::chrono::milliseconds{200 + draw(1500)}, [this, age] { restore_store(age / 2); });
         }
-        std::printf("store down for %lld ms, returns %s from a copy %lld ms old; %s\n", to_ms(down),
+        std::printf("store unavailable for %lld ms, restored %s from a snapshot %lld ms old; %s\n", to_ms(down),
                     repeat ? "twice" : "once", to_ms(age), crashes ? primary.id().c_str() : "no crash");
         co_await sleep_for(std::chrono::milliseconds{5500 + draw(2000)});
     }
@@ -521,7 +533,7 @@
     list_store_faults();
 }
 
-/// What is promised of planned work holds only without other faults.
+/// The guarantees for planned operations hold only without unplanned faults.
 void scenario::record_unplanned_fault() {
     m_last_unplanned_fault_at = boot_clock::now();
     for (auto& service : m_services) {
@@ -531,37 +543,37 @@
     }
 }
 
-void scenario::inject(fault& next, time_point started_at) {
-    if (!next.planned) {
+void scenario::inject(fault& selected, time_point started_at) {
+    if (!selected.planned) {
         record_unplanned_fault();
     }
-    const auto details = next.inject();
-    std::printf("%6lld ms %.*s %s\n", to_ms(boot_clock::now() - started_at), static_cast<int>(next.name.size()),
-                next.name.data(), details.c_str());
+    const auto details = selected.inject();
+    std::printf("%6lld ms %.*s %s\n", to_ms(boot_clock::now() - started_at), static_cast<int>(selected.name.size()),
+                selected.name.data(), details.c_str());
 }
 
-asio::awaitable<void> scenario::independent_phase(std::chrono::seconds length, bool planned_only) {
+asio::awaitable<void> scenario::run_independent_faults(std::chrono::seconds length, bool planned_only) {
     const auto started_at = boot_clock::now();
     for (;;) {
         co_await sleep_for(std::chrono::milliseconds{1500 + independent_below(3000)});
         if (boot_clock::now() - started_at >= length) {
             co_return;
         }
-        auto& next = m_independent_faults[independent_below(m_independent_faults.size())];
-        if (!planned_only || next.planned) {
-            inject(next, started_at);
+        auto& selected = m_independent_faults[independent_below(m_independent_faults.size())];
+        if (!planned_only || selected.planned) {
+            inject(selected, started_at);
         }
     }
 }
 
-asio::awaitable<void> scenario::phase(std::chrono::seconds length, bool planned_only) {
-    asio::co_spawn(m_io, independent_phase(length, planned_only), asio::detached);
+asio::awaitable<void> scenario::run_fault_phase(std::chrono::seconds length, bool planned_only) {
+    asio::co_spawn(m_io, run_independent_faults(length, planned_only), asio::detached);
     const auto started_at = boot_clock::now();
     while (boot_clock::now() - started_at < length) {
         co_await sleep_for(random_between(100, 900));
-        auto& next = m_faults[random_below(m_faults.size())];
-        if (!planned_only || next.planned) {
-            inject(next, started_at);
+        auto& selected = m_faults[random_below(m_faults.size())];
+        if (!planned_only || selected.planned) {
+            inject(selected, started_at);
         }
     }
 }
@@ -616,7 +628,7 @@
             server->start();
         }
     }
-    asio::co_spawn(m_io, maintain(), asio::detached);
+    asio::co_spawn(m_io, supervise_all(), asio::detached);
     for (auto& item : m_proxies) {
         item->start();
         asio::co_spawn(m_io, poll_readiness(*item), asio::detached);
@@ -629,12 +641,12 @@
             m_random()));
         asio::co_spawn(m_io, m_callers.back()->run(m_stop_callers), asio::detached);
     }
-    co_await phase(m_settings.planned, true);
-    co_await phase(m_settings.faulty, false);
-    co_await log_loss_phase();
-    co_await store_restore_phase();
+    co_await run_fault_phase(m_settings.planned, true);
+    co_await run_fault_phase(m_settings.faulty, false);
+    co_await run_log_loss_phase();
+    co_await run_store_restore_phase();
     co_await recover();
-    // Under their load a request may be refused for want of a connection.
+    // Under the callers' load a probe may be refused for lack of a free connection.
     m_stop_callers = true;
     co_await sleep_for(1500ms);
     co_await check_recovered();
--- a/tests/soak/scenario.hpp
+++ b/tests/soak/scenario.hpp
@@ -16,35 +16,41 @@
 
 namespace cornellever::soak {
 
+/// Options of a soak run.
 struct scenario_settings {
     std::string binary;
     std::filesystem::path folder;
     std::uint64_t seed{1};
+    /// Duration of the phase with planned operations only.
     std::chrono::seconds planned{6};
+    /// Duration of the phase with all faults.
     std::chrono::seconds faulty{12};
     /// Rounds in which a primary loses its log while proxies are killed.
     int log_loss_rounds{0};
-    /// Rounds in which the store returns from an older copy.
+    /// Rounds in which the store is restored from an older snapshot.
     int store_restore_rounds{0};
     std::size_t proxies{5};
     std::size_t callers{24};
 };
 
-/// A whole deployment on loopback under faults: real proxies as processes,
-/// emulated servers and store behind gateways, and callers. First planned work
-/// alone, then faults of all kinds, which overlap, then a pause in which
-/// everything has to recover.
+/// A deployment on loopback under fault injection: proxies as real processes,
+/// emulated servers and metadata store behind fault-injecting forwarders, and
+/// simulated callers. Runs a phase of planned operations only, then one of
+/// overlapping faults of all kinds, then a recovery period after which every
+/// proxy has to serve every database.
 class scenario {
 public:
     scenario(asio::io_context& io, scenario_settings settings);
 
-    /// Plays it; returns how many promises were broken.
+    /// Runs the scenario; returns the number of violations.
     asio::awaitable<std::size_t> play();
 
 private:
+    /// A fault, or a planned operation such as a drain.
     struct fault {
         std::string_view name;
         bool planned{false};
+        /// Returns what it affected, for the log.
         std::function<std::string()> inject;
     };
 
@@ -54,14 +60,14 @@
     void list_store_faults();
     void list_independent_faults();
     [[nodiscard]] std::string malformed_row();
-    void inject(fault& next, time_point started_at);
-    asio::awaitable<void> independent_phase(std::chrono::seconds length, bool planned_only);
-    asio::awaitable<void> maintain();
+    void inject(fault& selected, time_point started_at);
+    asio::awaitable<void> run_independent_faults(std::chrono::seconds length, bool planned_only);
+    asio::awaitable<void> supervise_all();
     asio::awaitable<void> poll_readiness(proxy_process& proxy);
-    asio::awaitable<void> phase(std::chrono::seconds length, bool planned_only);
+    asio::awaitable<void> run_fault_phase(std::chrono::seconds length, bool planned_only);
     asio::awaitable<void> run_after(std::chrono::milliseconds delay, std::function<void()> action);
-    asio::awaitable<void> log_loss_phase();
-    asio::awaitable<void> store_restore_phase();
+    asio::awaitable<void> run_log_loss_phase();
+    asio::awaitable<void> run_store_restore_phase();
     void restore_store(std::chrono::milliseconds age);
     asio::awaitable<void> recover();
     asio::awaitable<void> check_recovered();
@@ -97,8 +103,8 @@
     std::vector<database> m_databases;
     std::vector<std::unique_ptr<caller>> m_callers;
     std::vector<fault> m_faults;
-    /// Strike beside the others and draw from a generator of their own, so that
-    /// a seed's order of the others stays what it was.
+    /// Injected beside the others with a random generator of their own, so that
+    /// the sequence of the others for a given seed does not depend on them.
     std::vector<fault> m_independent_faults;
     std::mt19937_64 m_independent_random;
     std::mt19937_64 m_log_loss_random;
