--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,16 +1,17 @@
-# Starts and stops a whole example system on loopback, each role its own
-# process. Sourced by the demo and the system tests; not run alone.
+# Functions that start and stop an example deployment on loopback, one process
+# per platform, backend and proxy. Sourced by the demo, the system tests and the
+# measuring scripts.
 #
 #   cluster_start BIN EXAMPLE WORK IP LAG_MS   platform, backends, 2 proxies; applies the config
-#   cluster_stop                               SIGTERM to every process started, then waits;
-#                                              fails when one had crashed
+#   cluster_stop                               sends SIGTERM to every process and waits for it;
+#                                              fails when one has crashed
 #
 # IP is a loopback address (127.x.y.z); the example's 127.0.0.1 addresses are
-# rewritten to it, so runs on different IPs never share a port.
+# rewritten to it, so that runs on different IPs do not compete for ports.
 
 CLUSTER_PIDS=()
-declare -A CLUSTER_BACKEND     # address by "database/zone"
-declare -A CLUSTER_BACKEND_PID # process by "database/zone"
+declare -A CLUSTER_BACKEND     # address, keyed by "database/zone"
+declare -A CLUSTER_BACKEND_PID # process id, keyed by "database/zone"
 
 cluster_log() { printf '%s\n' "$*" >&2; }
 
@@ -31,9 +32,9 @@
 }
 
 cluster_ready() {
-  local bin=$1 proxy=$2 want=$3 dump
+  local bin=$1 proxy=$2 expected=$3 dump
   dump=$("$bin" ctl dump "$proxy" 2>/dev/null) || return 1
-  [ "$(grep -c '"healthy" : true' <<<"$dump")" -eq "$want" ]
+  [ "$(grep -c '"healthy" : true' <<<"$dump")" -eq "$expected" ]
 }
 
 cluster_start() {
@@ -76,25 +77,25 @@
     --platform "$CLUSTER_PLATFORM" --peers "$CLUSTER_PROXY_A"
 
   cluster_wait_for "the platform" 50 "$bin" ctl call "$CLUSTER_PLATFORM" dump || return 1
-  for address in "$CLUSTER_PROXY_A" "$CLUSTER_PROXY_B"; do cluster_machine "$address" proxy live; done
+  for address in "$CLUSTER_PROXY_A" "$CLUSTER_PROXY_B"; do cluster_set_vm_state "$address" proxy live; done
   "$bin" ctl apply "$work/config" --platform "$CLUSTER_PLATFORM" >"$work/logs/apply.log" || return 1
   cluster_wait_for "proxy A to see $count healthy instances" 100 cluster_ready "$bin" "$CLUSTER_PROXY_A" "$count" || return 1
   cluster_wait_for "proxy B to see $count healthy instances" 100 cluster_ready "$bin" "$CLUSTER_PROXY_B" "$count" || return 1
 }
 
-# Tells the platform about a machine: cluster_machine ADDRESS KIND STATE
-cluster_machine() {
+# Sets the state of a VM in the platform's list: cluster_set_vm_state ADDRESS KIND STATE
+cluster_set_vm_state() {
   "$CLUSTER_BIN" ctl call "$CLUSTER_PLATFORM" vms.set "{\"address\":\"$1\",\"kind\":\"$2\",\"state\":\"$3\"}" >/dev/null
 }
 
-# Sets fault switches of a process: cluster_fault ADDRESS JSON
+# Sets the fault injection of a process: cluster_fault ADDRESS JSON
 cluster_fault() { "$CLUSTER_BIN" ctl call "$1" fault.set "$2" >/dev/null; }
 
-# One field of a process's dump: cluster_field ADDRESS NAME (the first match)
+# Prints a field of a process's state dump, at its first match: cluster_field ADDRESS NAME
 cluster_field() { "$CLUSTER_BIN" ctl dump "$1" 2>/dev/null | sed -n "s/.*\"$2\" : \"\{0,1\}\([a-z0-9_-]*\).*/\1/p" | head -1; }
 
-# Stops every process; fails when one had crashed (died of another signal
-# than the SIGTERM or SIGKILL that tests send).
+# Stops every process; fails when one has crashed, which means that it exited
+# neither by itself nor by the SIGTERM or SIGKILL that tests send.
 cluster_stop() {
   local pid status crashed=0
   for pid in "${CLUSTER_PIDS[@]}"; do kill -CONT "$pid" 2>/dev/null || true; done
--- a/tests/system/at_most_once.sh
+++ b/tests/system/at_most_once.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Story: buyers reserve under request ids and ask again, on whichever proxy,
-# until they are told. Meanwhile the primary runs commits and loses their
-# answers, answers come late, a proxy dies in the middle of transactions and
-# comes back, and the primary is killed. Each reservation happened exactly
-# once or not at all, as told; no transaction is torn or mixed.
+# Guards against lost, duplicated and torn writes when callers retry by request
+# id on either proxy. During the load the primary commits but loses replies,
+# replies arrive late, a proxy is killed inside transactions and restarted, and
+# the primary is killed. Each reservation must have taken effect exactly once or
+# not at all, as its caller was told, and no transaction partially or mixed.
 set -euo pipefail
 source "$(dirname "$0")/common.sh" "$1" "$2" 127.0.35.1 20
-# A kind of request that the service lists as non-repeatable needs an id.
+# A request kind listed as non-repeatable requires a request id.
 "$bin" ctl call "$CLUSTER_PROXY_A" execute '{"service":"stockbook","database":"orders","kind":"reserve-unit","sql":"DELETE FROM reservations"}' \
   >"$work/no-id.txt" && fail "a non-repeatable request without an id ran"
 grep -q '^bad_request' "$work/no-id.txt" || fail "expected bad_request: $(cat "$work/no-id.txt")"
@@ -22,6 +22,6 @@
 cluster_spawn "$work/logs/proxy-a2.log" "$bin" proxy --name proxy-a --zone walu --listen "$CLUSTER_PROXY_A" --platform "$CLUSTER_PLATFORM"
 sleep 1
 kill -KILL "${CLUSTER_BACKEND_PID[orders/walu]}"
-verify_clean
-[ "$(verify_figure 'done')" -gt 100 ] || fail "too few requests were served to prove anything"
-echo "ok: every request took effect once or not at all, as told"
+verify_finish
+[ "$(verify_figure 'done')" -gt 100 ] || fail "too few requests were served for a meaningful result"
+echo "ok: every request took effect once or not at all, as reported"
--- a/tests/system/common.sh
+++ b/tests/system/common.sh
@@ -1,5 +1,5 @@
-# What the system tests share. Sourced with: source common.sh BIN TOP IP LAG_MS
-# Starts the Vatuwaqa cluster and stops it when the test ends, however it ends.
+# Shared setup of the system tests, sourced with: source common.sh BIN TOP IP LAG_MS
+# Starts the deployment of examples/vatuwaqa and stops it when the test exits.
 bin=$1 top=$2
 source "$top/scripts/cluster.sh"
 work=$(mktemp -d)
@@ -9,22 +9,22 @@
 
 fail() { echo "FAIL: $*"; exit 1; }
 
-# Starts the checked workload in the background: verify_start DATABASE MS [SEED]
+# Starts the verified workload in the background: verify_start DATABASE DURATION_MS [SEED]
 verify_start() {
   "$bin" bench verify "${both_proxies[@]}" --database "$1" --duration-ms "$2" --seed "${3:-1}" >"$work/verify.txt" 2>&1 &
   verify_pid=$!
 }
 
-# Waits for it; the caller's promises must all have held.
-verify_clean() {
-  wait "$verify_pid" || { cat "$work/verify.txt"; fail "a promise was broken"; }
+# Waits for the workload; fails when it found a consistency violation.
+verify_finish() {
+  wait "$verify_pid" || { cat "$work/verify.txt"; fail "a consistency guarantee was violated"; }
   cat "$work/verify.txt"
 }
 
-# A figure of its report: verify_figure 'longest time without an acknowledged write'
+# Prints a number of its report: verify_figure 'longest time without an acknowledged write'
 verify_figure() { sed -n "s/.*$1 \([0-9]*\).*/\1/p" "$work/verify.txt" | head -1; }
 
-# How many instances of a database say they lead, and where: primaries_of DATABASE
+# Prints the zones whose instance of a database reports the primary role: primaries_of DATABASE
 primaries_of() {
   local zone
   for zone in walu laucala nabua; do
@@ -33,7 +33,7 @@
   return 0
 }
 
-# Polls until the command succeeds: eventually SECONDS COMMAND...
+# Polls until the command succeeds; fails after SECONDS: eventually SECONDS COMMAND...
 eventually() {
   local until=$((SECONDS + $1)); shift
   until "$@"; do
--- a/tests/system/config_outage_and_race.sh
+++ b/tests/system/config_outage_and_race.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# Story: the platform's table service goes down while proxies run version 1.
-# Callers keep being served on the last good configuration; an operator's
-# apply during the outage is refused as unavailable and changes nothing.
-# When the platform is back, version 2 is in force on both proxies within
-# 4 s. Then two operators apply at once over version 2: one wins, the other
-# is refused and told why.
+# Guards against losing service or configurations while the platform's table is
+# unavailable. During the outage the proxies must keep serving with the last
+# configuration, and an apply must be refused as unavailable without effect.
+# After it, a new version must be in force on both proxies within 4 s. Of two
+# applies racing over the same version, one must win and the other be refused.
 set -euo pipefail
 bin=$1 top=$2
 source "$top/scripts/cluster.sh"
@@ -46,7 +45,7 @@
   [ "$(version_of "$proxy")" = 2 ] || { echo "FAIL: $proxy is not at version 2 after ${elapsed_ms} ms"; exit 1; }
 done
 echo "version 2 in force on both proxies ${elapsed_ms} ms after apply started"
-[ "$elapsed_ms" -le 4000 ] || { echo "FAIL: slower than the 4 s the users ask"; exit 1; }
+[ "$elapsed_ms" -le 4000 ] || { echo "FAIL: took longer than the required 4 s"; exit 1; }
 
 "$bin" ctl apply "$work/config" --platform "$CLUSTER_PLATFORM" --expect-version 2 >"$work/race-1.txt" &
 first=$!
@@ -58,4 +57,4 @@
 wins=$(cat "$work/race-1.txt" "$work/race-2.txt" | grep -c '^applied: version 3$' || true)
 losses=$(cat "$work/race-1.txt" "$work/race-2.txt" | grep -c '^refused (conflict)' || true)
 [ "$wins" -eq 1 ] && [ "$losses" -eq 1 ] || { echo "FAIL: $wins won and $losses were refused, expected 1 and 1"; exit 1; }
-echo "ok: last good config kept through the outage, caught up after, one racing operator refused"
+echo "ok: last configuration kept during the outage, new one in force after it, one racing apply refused"
--- a/tests/system/ctl_refuses_bad_config.sh
+++ b/tests/system/ctl_refuses_bad_config.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# Story: one seasonal operator applies a good configuration; a second one
-# then applies a folder with three mistakes in two files. ctl must list all
-# three with file:line, refuse the whole folder, and leave the platform's
-# row at the version the first operator applied.
+# Guards against a partially applied configuration: an apply of a folder with
+# three mistakes in two files must report each with file:line, apply nothing, and
+# leave the platform's row at the version that was applied before.
 set -euo pipefail
 bin=$1 top=$2
 work=$(mktemp -d)
--- a/tests/system/differential.sh
+++ b/tests/system/differential.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Story: random sessions browse and change their own pages, roaming between
-# two proxies while replicas lag 20 ms. The same scripts run against a naive
-# version, one instance that gets every statement. All answers must be equal,
-# and cornellever must have served most reads from replicas.
+# Guards against stale or wrong reads from replicas: random sessions read and
+# write, switching between two proxies while replicas lag by 20 ms. The same
+# statements run against a single backend without a proxy (naive). All replies
+# must be equal, and replicas must have served most of the reads.
 set -euo pipefail
 source "$(dirname "$0")/common.sh" "$1" "$2" 127.0.39.1 20
 naive=127.0.39.1:7900
@@ -11,9 +11,9 @@
 cluster_wait_for "the naive version" 50 "$bin" ctl call "$naive" status
 for seed in 1 2 3; do
   "$bin" bench differential "${both_proxies[@]}" --direct "$naive" --database catalogue --sessions 12 --steps 40 --seed "$seed" \
-    >"$work/diff.txt" || { cat "$work/diff.txt"; fail "answers differ from the naive version"; }
+    >"$work/diff.txt" || { cat "$work/diff.txt"; fail "replies differ from the naive version"; }
   cat "$work/diff.txt"
   share=$(sed -n 's/.*by replicas 0*\.\([0-9]*\).*/\1/p;s/.*by replicas 1\.000.*/999/p' "$work/diff.txt" | head -1)
   [ "$((10#$share))" -ge 500 ] || fail "replicas served only 0.$share of the reads"
 done
-echo "ok: same answers as the naive version"
+echo "ok: same replies as the naive version"
--- a/tests/system/leaving_backend.sh
+++ b/tests/system/leaving_backend.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Story: the platform lists the machine of a catalogue replica as leaving, and
-# then that of the orders primary, both under load. The replica gets no new
-# work after 3 s. The primary hands over: transactions under way finish, a
-# replica leads, no answer is lost, and the old primary gets no new work.
+# Guards against new work on VMs that the platform lists as leaving, and against
+# lost replies when a leaving primary hands over. A replica of one database and
+# the primary of another leave under load. After 3 s neither may get statements;
+# transactions in progress must finish, and a replica must have become primary.
 set -euo pipefail
 source "$(dirname "$0")/common.sh" "$1" "$2" 127.0.37.1 20
 statements() { cluster_field "$1" statements; }
@@ -12,18 +12,18 @@
 reads=$!
 verify_start orders 6500
 sleep 1
-[ "$(statements "$leaving")" -gt 0 ] || fail "the replica served nothing before: nothing was tested"
-cluster_machine "$leaving" backend leaving
-cluster_machine "${CLUSTER_BACKEND[orders/walu]}" backend leaving
+[ "$(statements "$leaving")" -gt 0 ] || fail "the replica served no reads before it left: nothing was tested"
+cluster_set_vm_state "$leaving" backend leaving
+cluster_set_vm_state "${CLUSTER_BACKEND[orders/walu]}" backend leaving
 sleep 3
 replica_before=$(statements "$leaving")
 primary_before=$(statements "${CLUSTER_BACKEND[orders/walu]}")
-[ "$(primaries_of orders)" != walu ] || fail "the leaving primary still leads"
+[ "$(primaries_of orders)" != walu ] || fail "the leaving primary still has its role"
 sleep 1.5
 [ "$(statements "$leaving")" -eq "$replica_before" ] || fail "the leaving replica still gets work"
 [ "$(statements "${CLUSTER_BACKEND[orders/walu]}")" -eq "$primary_before" ] || fail "the leaving primary still gets work"
 wait "$reads" || fail "reads failed"
 grep -q ' 0 failed' "$work/reads.txt" || { cat "$work/reads.txt"; fail "reads failed while a replica left"; }
-verify_clean
-[ "$(verify_figure 'unknown')" -eq 0 ] || fail "the handover lost answers"
+verify_finish
+[ "$(verify_figure 'unknown')" -eq 0 ] || fail "the handover lost replies"
 echo "ok: leaving machines got no new work; handover gap $(verify_figure 'longest time without an acknowledged write') ms"
--- a/tests/system/planned_stop.sh
+++ b/tests/system/planned_stop.sh
@@ -1,9 +1,8 @@
 #!/usr/bin/env bash
-# Story: an operator stops proxy A with SIGTERM while 16 callers keep
-# sending statements through it. A planned stop cuts no request: every
-# request proxy A accepted gets its whole answer; after that, callers find
-# the proxy gone (refused, not run) and go elsewhere. A cut request (sent,
-# answer lost: outcome unknown) fails the test.
+# Guards against requests interrupted by a planned stop: proxy A receives SIGTERM
+# while 16 callers send statements through it. Every request it accepted must get
+# its complete reply; later ones are refused as not run. A request that was sent
+# and lost its reply (outcome unknown) fails the test.
 set -euo pipefail
 bin=$1 top=$2
 source "$top/scripts/cluster.sh"
@@ -23,7 +22,7 @@
 cut=$(awk '/ cut /{for (i = 1; i < NF; i++) if ($(i + 1) == "cut") print $i; exit}' "$work/load.txt")
 ok=$(awk '/ ok /{print $2; exit}' "$work/load.txt")
 [ -n "$cut" ] && [ "$ok" -gt 0 ] || { echo "FAIL: the load did not run"; exit 1; }
-[ "$cut" -eq 0 ] || { echo "FAIL: the planned stop cut $cut requests"; exit 1; }
+[ "$cut" -eq 0 ] || { echo "FAIL: the planned stop interrupted $cut requests"; exit 1; }
 grep -q 'CL1003 process.stopped role=proxy in_flight=0 transactions=0' "$work/logs/proxy-a.log" ||
-  { echo "FAIL: proxy A did not stop drained"; cat "$work/logs/proxy-a.log" | tail -3; exit 1; }
-echo "ok: SIGTERM under load cut no request"
+  { echo "FAIL: proxy A stopped with work in progress"; cat "$work/logs/proxy-a.log" | tail -3; exit 1; }
+echo "ok: SIGTERM under load interrupted no request"
--- a/tests/system/replaced_during_outage.sh
+++ b/tests/system/replaced_during_outage.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# Story: while the platform's table is down, the machine of proxy B is
-# replaced. The new process starts with nothing and cannot read the
-# configuration. It takes the one that proxy A has in force and serves, and
-# later follows the platform again.
+# Guards against a new proxy that cannot serve while the platform's table is
+# down: proxy B is replaced and cannot read the configuration. It must take the
+# one in force from proxy A, serve with it, and follow the platform again later.
 set -euo pipefail
 source "$(dirname "$0")/common.sh" "$1" "$2" 127.0.43.1 0
 cluster_fault "$CLUSTER_PLATFORM" '{"down":true}'
@@ -18,4 +17,4 @@
 cluster_fault "$CLUSTER_PLATFORM" '{"down":false}'
 printf '[instance stockbook/orders/walu]\nconnections = 8\n' >"$work/config/90-fewer.ini"
 "$bin" ctl apply "$work/config" --platform "$CLUSTER_PLATFORM" "${both_proxies[@]}" || fail "version 2 is not in force everywhere"
-echo "ok: a proxy replaced during the outage serves and catches up"
+echo "ok: a proxy started during the outage serves, and reads the configuration after it"
--- a/tests/system/ryw_session.sh
+++ b/tests/system/ryw_session.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Story: a buyer browses on proxy A, reserves an oven in a transaction there,
-# then the next page is answered by proxy B while every replica still lags
-# 1.5 s. The buyer must see the reservation at once (read-your-writes across
-# proxies), and the whole session must match the golden transcript.
+# Guards against a session that does not read its own writes on another proxy: a
+# transaction commits through proxy A, and the next read goes to proxy B while
+# every replica lags by 1.5 s. The session must see its write at once, and all
+# its replies must match the golden transcript.
 set -euo pipefail
 bin=$1 top=$2
 source "$top/scripts/cluster.sh"
--- a/tests/system/two_operators.sh
+++ b/tests/system/two_operators.sh
@@ -1,9 +1,8 @@
 #!/usr/bin/env bash
-# Story: two seasonal operators fetch the same configuration. One lowers the
-# connections of orders and applies. The other, an hour later and knowing
-# nothing of it, changes how old a page may be and applies. Were the second
-# taken, the first one's change would silently be gone. It is refused and
-# told why; after a fresh fetch both changes are in force on every proxy.
+# Guards against lost updates between operators: two fetch the same configuration
+# and change different settings. The second apply must be refused with the
+# reason, since it would undo the first; after a new fetch both changes must be in
+# force on every proxy.
 set -euo pipefail
 source "$(dirname "$0")/common.sh" "$1" "$2" 127.0.42.1 0
 ctl() { "$bin" ctl "$@" --platform "$CLUSTER_PLATFORM"; }
@@ -17,7 +16,7 @@
 grep -q '^in force on 2 proxies' "$work/applied.txt" || fail "not in force on both proxies"
 ctl apply "$work/second" >"$work/refused.txt" && fail "the second operator overwrote the first one's change"
 cat "$work/refused.txt"
-grep -q 'version 2 is applied, but this folder was changed from version 1' "$work/refused.txt" || fail "not told why"
+grep -q 'version 2 is applied, but this folder was changed from version 1' "$work/refused.txt" || fail "the refusal does not give the reason"
 [[ "$(applied_fields)" == *'"connections":8'* ]] || fail "the first operator's change is gone"
 cp -r "$work/config" "$work/unknown" && rm "$work/unknown/.applied"
 ctl apply "$work/unknown" && fail "a folder of unknown origin was applied over version 2"
@@ -26,4 +25,4 @@
 ctl apply "$work/third" "${both_proxies[@]}"
 [[ "$(applied_fields)" == *'"connections":8'* && "$(applied_fields)" == *'"max_staleness_ms":900'* ]] || fail "one of the changes is gone"
 ctl status "${both_proxies[@]}" || fail "status does not show version 3 everywhere"
-echo "ok: the second operator was refused, and both changes hold in the end"
+echo "ok: the outdated apply was refused, and both changes are in force in the end"
--- a/tests/system/unconfirmed_write.sh
+++ b/tests/system/unconfirmed_write.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Story: both replicas of the orders database are paused (SIGSTOP), then a
-# buyer reserves an oven. The primary writes the reservation, but if it died
-# now nobody else would have it. The buyer must not be told "reserved"; once
-# the replicas run again, the same request id gives the one reservation.
+# Guards against acknowledging a write that only the primary holds: both replicas
+# are paused (SIGSTOP), and the primary would lose the write if it died. The
+# outcome must be reported as unknown; once the replicas run again, a retry with
+# the same request id must give the one reservation.
 set -euo pipefail
 source "$(dirname "$0")/common.sh" "$1" "$2" 127.0.32.1 0
 kill -STOP "${CLUSTER_BACKEND_PID[orders/laucala]}" "${CLUSTER_BACKEND_PID[orders/nabua]}"
@@ -15,4 +15,4 @@
 grep -q '"repeated" : true' "$work/again.txt" || fail "the repeated request ran again"
 rows=$("$bin" ctl call "$CLUSTER_PROXY_A" execute '{"service":"stockbook","database":"orders","sql":"SELECT count(*) FROM reservations WHERE unit_id = 2"}' | tr -d ' \n\t')
 [[ "$rows" == *'"rows":[[1]]'* ]] || fail "expected one reservation: $rows"
-echo "ok: told unknown, then found by its id, once"
+echo "ok: reported as unknown, then found once by its request id"
