--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures the slopes docs/CAPACITY.md is worked from, on loopback with the
-# stand-ins. Bounded: about a minute, under 30 processes, a few hundred MB.
+# Measures the costs per connection, statement and database on which
+# docs/CAPACITY.md is based, on loopback with the emulated platform and
+# backends. Takes about a minute, under 30 processes and a few hundred MB.
 #   bash scripts/capacity.sh [BUILD_DIR]
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
@@ -29,7 +30,7 @@
   if [ "$n" -gt 0 ]; then wait "$holder"; fi
 done
 
-echo "== proxy processor time per statement routed"
+echo "== proxy CPU time per statement routed"
 statement='{"service":"stockbook","database":"catalogue","mode":"MODE","sql":"SELECT id, kind, price_fjd FROM units WHERE id = 1"}'
 for mode in write read; do
   before=$(cpu_ticks "$proxy_pid")
@@ -40,7 +41,7 @@
   echo "mode=$mode statements=$done_count proxy_cpu_us_per_statement=$(( (after - before) * tick_us / done_count ))"
 done
 
-echo "== proxy processor time per confirmed write"
+echo "== proxy CPU time per confirmed write"
 before=$(cpu_ticks "$proxy_pid")
 out=$("$bin" bench call --target "$CLUSTER_PROXY_A" --method execute --sessions 8 --duration-ms 3000 --params \
   '{"service":"stockbook","database":"workshop","sql":"INSERT INTO notes (unit_id, note) VALUES (4, ?)","params":["load"]}')
@@ -50,7 +51,7 @@
 before=$(cpu_ticks "$proxy_pid")
 sleep 5
 after=$(cpu_ticks "$proxy_pid")
-echo "idle proxy, 9 instances watched: control_cpu_us_per_second=$(( (after - before) * tick_us / 5 ))"
+echo "idle proxy, 9 instances monitored: control_cpu_us_per_second=$(( (after - before) * tick_us / 5 ))"
 
 echo "== control messages: client cost and bytes per call"
 echo -n "heartbeat (status to a backend): "
@@ -71,7 +72,7 @@
   --sessions 1 --duration-ms 2000 | head -1
 cluster_stop
 
-echo "== proxy memory per database known (3 instances each, none answering)"
+echo "== proxy memory per configured database (3 instances each, none answering)"
 "$bin" platform --listen 127.0.6.2:7000 >"$work/platform2.log" 2>&1 &
 CLUSTER_PIDS+=("$!")
 "$bin" proxy --name probe --zone walu --listen 127.0.6.2:7201 --platform 127.0.6.2:7000 --log-level error \
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Plays the days in deploy/days (or those named) on a deployment, where the
-# users' kit is at hand, and lists what each broke:
+# Runs the operation scenarios in deploy/days, or those named, on a deployment
+# with the platform's scenario player, four in parallel, and lists which rules
+# each of them violated:
 #   PLAYER=PATH bash scripts/days.sh SITE [DAY...]
-# Exits with 1 when a rule was broken. Four at a time.
+# Exits with 1 when a rule was violated.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 site=$1
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# The main job on its embedded default: builds, starts the platform stand-in,
-# nine backend stand-ins and two proxies on loopback (each its own process),
-# applies examples/vatuwaqa, runs a buyer's session that reserves an oven on
-# proxy A and reads it back on proxy B, prints what it saw, and stops.
+# Demonstrates session consistency: builds, starts an emulated platform, nine
+# emulated backends and two proxies on loopback (a process each), applies the
+# configuration of an example, runs a session that writes through proxy A and
+# reads it back through proxy B, prints the replies, and stops everything.
+#   bash scripts/demo.sh [EXAMPLE]     a folder in examples/; default: vatuwaqa
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 source "$top/scripts/setup.sh"
@@ -17,6 +18,6 @@
 echo
 "$bin" bench session --proxy "$CLUSTER_PROXY_A" --proxy "$CLUSTER_PROXY_B" --script "$top/examples/$example/session.json"
 echo
-echo "proxy B's view of replica reads:"
+echo "reads at proxy B, and how many of them replicas served:"
 "$bin" ctl dump "$CLUSTER_PROXY_B" | grep -E '"(reads|replica_reads|replica_fallbacks)"'
 echo "stopping"
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Fuzzes the decoders that meet input from outside, a fixed number of
-# runs from a fixed seed, so that the verdict is the same every time.
-# RUNS=N for another number; SEED=N for other inputs.
+# Fuzzes the decoders of external input, with a fixed number of runs and a fixed
+# seed so that the result is reproducible. RUNS and SEED override the two.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 out=${FUZZ_BUILD:-$top/build/fuzz}
@@ -29,5 +28,5 @@
   rm -rf "$out/corpus-$target" && mkdir "$out/corpus-$target"
   "$out/$target" -runs="$runs" -seed="$seed" -max_len=4096 -timeout=10 -artifact_prefix="$out/" \
     "$out/corpus-$target" "tests/fuzz/corpus/$target" >"$out/$target.log" 2>&1 || { tail -40 "$out/$target.log"; exit 1; }
-  echo "$target: $(grep -o 'Done.*' "$out/$target.log") without a finding"
+  echo "$target: $(grep -o 'Done.*' "$out/$target.log") without findings"
 done
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# clang-tidy over every source, in parallel; fails on any finding.
+# Runs clang-tidy on every source file in parallel; fails on any finding.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 cd "$top"
--- a/scripts/measures.sh
+++ b/scripts/measures.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Measures what docs/MEASURES.md shows, for both examples: the share of reads
-# served by replicas and the failover gap, each beside the naive version, and
-# how long a configuration takes to be in force. Loopback only, about 4 min.
+# Measures the figures of docs/MEASURES.md for both examples: the share of reads
+# served by replicas and the write outage during a failover, each compared with
+# a single backend without a proxy (naive), and the time until an applied
+# configuration is in force on all proxies. Loopback only; takes about 4 min.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 source "$top/scripts/setup.sh" >/dev/null
@@ -25,7 +26,7 @@
     "$bin" bench differential "${proxies[@]}" --direct "$ip:7900" "${on[@]}" --sessions 25 --steps 40 --seed "$((replica_wait + 7))"
     "$bin" bench verify "${proxies[@]}" "${on[@]}" --duration-ms 4000 --seed "$((replica_wait + 1))" | head -8
   done
-  echo "== $example: failover gap (naive: the primary's whole absence)"
+  echo "== $example: failover gap (naive: the whole downtime of the primary)"
   "$bin" bench gap "${proxies[@]}" "${on[@]}" --rounds 10 --direct "$ip:7900"
   echo "== $example: a configuration in force on 2 proxies, 20 applies"
   for replica_wait in $(seq 20); do
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
-# Installs the Debian packages the build needs (when missing) and builds
-# into build/. Sourced by demo.sh and test.sh.
+# Installs missing Debian packages that the build needs and builds into build/.
+# Sourced by demo.sh, measures.sh and test.sh.
 set -euo pipefail
 top=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 read -r -a packages <"$top/scripts/packages.txt"
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, and runs every test (unit and system) with ctest.
+# Installs missing packages, builds, and runs every ctest test: unit, fuzz, soak and system.
 set -euo pipefail
 top=$(cd "$(dirname "$0")/.." && pwd)
 source "$top/scripts/setup.sh"
