--- a/tests/fuzz/config.cpp
+++ b/tests/fuzz/config.cpp
@@ -9,8 +9,8 @@
 
 using namespace cornellever;
 
-// Whatever an operator's folder holds: either findings, or a configuration
-// that survives being stored and read back.
+// Any configuration text gives either findings or a configuration that is
+// unchanged after it was stored and read back.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     ini::document document;
     ini::read_text(std::string_view{reinterpret_cast<const char*>(data), size}, "fuzz.ini", document);
@@ -23,7 +23,7 @@
     if (!read_back || config::to_json(*read_back) != stored) {
         std::abort();
     }
-    // What `ctl fetch` writes reads back to the same configuration.
+    // The INI text that `ctl fetch` writes gives the same configuration again.
     ini::document fetched;
     ini::read_text(config::to_ini(loaded.config), "fetched.ini", fetched);
     const auto again = config::from_document(fetched);
--- a/tests/fuzz/request.cpp
+++ b/tests/fuzz/request.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// An error of a decoder always says that nothing ran, and why.
+/// An error of a decoder always has a code that means "not run", and a message.
 template <typename T>
 void check(const result<T>& decoded) {
     if (!decoded && (!ran_not(decoded.error().code) || decoded.error().message.empty())) {
@@ -21,8 +21,8 @@
 
 } // namespace
 
-// Whatever a caller sends: a request, or an error that says "not run"; never
-// an exception. The same for what a backend or the platform's rows hold.
+// Any bytes from a caller give a request or an error that means "not run", never
+// an exception; replies of backends and rows of the platform do not throw either.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string_view text{reinterpret_cast<const char*>(data), size};
     const auto request = rpc::decode_request(text);
--- a/tests/fuzz/statements.cpp
+++ b/tests/fuzz/statements.cpp
@@ -14,9 +14,9 @@
 
 using namespace cornellever;
 
-/// Whatever a caller, a backend server, a peer or the store sends: it is
-/// decoded or refused. What a caller sends must not become two lines for a
-/// server, and what is decoded must be encoded as it was.
+/// Any input from a caller, a backend server, a peer or the store is decoded or
+/// refused. A caller's line must not become two lines for a server, which would
+/// inject a statement, and a decoded message can be encoded and decoded again.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string_view text{reinterpret_cast<const char*>(data), size};
     const auto line = text.substr(0, text.find('\n'));
