--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -8,7 +8,7 @@
 top=$(cd "$(dirname "$0")/.." && pwd)
 site=$1
 shift
-player=${PLAYER:?PLAYER is the path of the program that plays days}
+player=${PLAYER:?PLAYER must be the path of the scenario player}
 out=${OUT:-$(mktemp -d)}
 cd "$top"
 days=("$@")
