--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -40,7 +40,7 @@
                                                                 .store_restore_rounds = store_restores.getValue(),
                                                                 .proxies = proxies.getValue(),
                                                                 .callers = callers.getValue()}};
-        asio::co_spawn(io, scenario_run.play(), [&](const std::exception_ptr& failed, std::size_t found) {
+        asio::co_spawn(io, scenario_run.run(), [&](const std::exception_ptr& failed, std::size_t found) {
             violations = failed ? 1 : found;
             if (failed) {
                 std::printf("the scenario failed with an exception\n");
--- a/tests/soak/scenario.cpp
+++ b/tests/soak/scenario.cpp
@@ -621,7 +621,7 @@
     }
 }
 
-asio::awaitable<std::size_t> scenario::play() {
+asio::awaitable<std::size_t> scenario::run() {
     publish_configuration();
     for (auto& service : m_services) {
         for (auto& server : service->servers()) {
--- a/tests/soak/scenario.hpp
+++ b/tests/soak/scenario.hpp
@@ -43,7 +43,7 @@
     scenario(asio::io_context& io, scenario_settings settings);
 
     /// Runs the scenario; returns the number of violations.
-    asio::awaitable<std::size_t> play();
+    asio::awaitable<std::size_t> run();
 
 private:
     /// A fault, or a planned operation such as a drain.
