--- a/src/cornellever/routing/admission.cpp
+++ b/src/cornellever/routing/admission.cpp
@@ -6,20 +6,19 @@
 
 namespace {
 
-/// Lower bound of the retry delay: the time of a few statements.
+/// Lower bound of the retry delay, which is the time of a few statements.
 constexpr std::chrono::milliseconds min_retry_after{30};
 
-/// Time reserved for running a statement after a failover: the new primary's
-/// execution slots are contended by all requests that waited for it.
+/// Time reserved for running a statement after a failover. All requests that waited for the new primary compete for its
+/// execution slots.
 constexpr std::chrono::milliseconds run_reserve_after_promotion{100};
 
-/// A promotion takes 1.2 s from its start; on average half of that is left when a
-/// request arrives.
+/// Retry delay while the service has no primary. A promotion takes 1.2 s from its start, and on average half of that is
+/// left when a request arrives.
 constexpr std::chrono::milliseconds retry_after_without_primary{300};
 
-/// Time reserved for running the statement, as a multiple of the average
-/// statement time: three of four statements take no longer. The average
-/// includes the time spent in the servers' own queues.
+/// Time reserved for running the statement, as a multiple of the average statement time. Three of four statements take
+/// no longer than this multiple. The average includes the time spent in the servers' queues.
 constexpr double run_reserve = 1.5;
 
 std::chrono::milliseconds in_ms(std::chrono::duration<double, std::milli> span) {
--- a/src/cornellever/routing/backend_link.hpp
+++ b/src/cornellever/routing/backend_link.hpp
@@ -17,35 +17,33 @@
 
 namespace cornellever::routing {
 
-/// How an exchange on a connection ended without an answer.
+/// How an exchange on a connection ended without a reply.
 enum class link_failure {
-    /// The connection was already broken: nothing reached the server.
+    /// The connection was already broken, so nothing reached the server.
     not_sent,
-    /// After the statements were written, the connection broke or an answer was
-    /// incomplete or unexpected.
+    /// The connection broke after the statements were written, or a reply was incomplete or unexpected.
     broken,
-    /// No answer before the deadline; the connection may never answer again.
+    /// No reply arrived before the deadline, and none may ever arrive on this connection.
     silent,
 };
 
 /// Why a connection could not be opened.
 enum class connect_failure { refused, silent, wrong_server, too_many_connections, failed };
 
-/// An answer, or why there is none.
+/// A reply, or why there is none.
 using link_reply = std::expected<sql::reply, link_failure>;
 
-/// A connection to a backend server. The statements of a batch are pipelined and
-/// answered in order; only one exchange may be in progress. After a failure the
-/// connection is unusable.
+/// A connection to a backend server. The statements of a batch are pipelined and answered in order. Only one exchange
+/// may be in progress at a time. After a failure the connection is unusable.
 template <typename T>
 concept backend_link = requires(T link, std::vector<sql::command> batch, std::size_t reply_index,
                                 boot_clock::time_point until) {
-    /// Sends a batch and waits for the answer to its statement at `reply_index`.
+    /// Sends a batch and waits for the reply to the statement at index `reply_index` of the batch.
     { link.exchange(batch, reply_index, until) } -> std::same_as<asio::awaitable<link_reply>>;
-    /// Sends a batch whose answers are read by `await_pending`; false when the
-    /// connection was already broken.
+    /// Sends a batch whose replies are read later by `await_pending`. Returns false if the connection was already
+    /// broken.
     { link.post(batch) } -> std::same_as<bool>;
-    /// Reads all pending answers and returns the last of them.
+    /// Reads all pending replies and returns the last of them.
     { link.await_pending(until) } -> std::same_as<asio::awaitable<link_reply>>;
     { link.usable() } -> std::same_as<bool>;
     {link.close()};
@@ -57,12 +55,11 @@
                                   boot_clock::time_point until) {
     typename T::link;
     requires backend_link<typename T::link>;
-    /// Opens a connection on behalf of `account`; an empty account stands for
-    /// the proxy itself.
+    /// Opens a connection on behalf of `account`. The proxy itself opens connections with an empty account.
     {
         connector.open(server, account, until)
         } -> std::same_as<asio::awaitable<std::expected<std::unique_ptr<typename T::link>, connect_failure>>>;
-    /// Decodes the answer to `statement_kind::status`; nothing for an error.
+    /// Decodes the reply to `statement_kind::status`. Returns nothing if the reply is an error.
     { T::status_of(sql::reply{}) } -> std::same_as<std::optional<sql::server_status>>;
 };
 
--- a/src/cornellever/routing/connection_lease.hpp
+++ b/src/cornellever/routing/connection_lease.hpp
@@ -6,8 +6,8 @@
 
 namespace cornellever::routing {
 
-/// RAII handle of a connection checked out of a pool; may be empty. Closes the
-/// connection on destruction unless it was released.
+/// RAII handle of a connection that is checked out of a pool. A handle may be empty. Its destructor closes the
+/// connection unless the connection was released.
 template <typename Pool>
 class connection_lease {
 public:
@@ -33,10 +33,10 @@
     slot& operator*() const noexcept { return *m_slot; }
     [[nodiscard]] const backend_server& server() const noexcept { return m_slot->server_entry->server; }
 
-    /// Returns the connection to the pool, which reads pending answers first.
+    /// Returns the connection to the pool, which reads the pending replies before it reuses the connection.
     void release() { m_pool->check_in(*std::exchange(m_slot, nullptr)); }
 
-    /// Closes the connection, which rolls back its open transaction.
+    /// Closes the connection. The server then rolls back the open transaction, if there is one.
     void drop() {
         if (m_slot != nullptr) {
             m_slot->connection->close();
--- a/src/cornellever/routing/connection_request.hpp
+++ b/src/cornellever/routing/connection_request.hpp
@@ -11,40 +11,39 @@
 
 namespace cornellever::routing {
 
-/// The requirements of a request on the connection that it runs on.
+/// What a request requires of the connection that it runs on.
 struct connection_request {
-    /// Only the primary is eligible.
+    /// Whether only the primary is eligible.
     bool primary{false};
-    /// The log position that a replica must have applied (see `read_floor`).
+    /// The log position that a replica must have applied to serve this request (see `read_floor`).
     std::optional<sql::log_position> floor{};
     const session::session_state* session{nullptr};
-    /// The account that the connection must have been opened for; empty for a
-    /// connection of the proxy's own.
+    /// The account that the connection must have been opened for. Empty if the request belongs to no account.
     std::string account{};
-    /// Priority in the wait queue: see `priority_of`.
+    /// Priority in the wait queue (see `priority_of`).
     std::int64_t priority{0};
-    /// Deadline of the wait.
+    /// Deadline for getting a connection.
     boot_clock::time_point until{};
-    /// Servers on which this request failed before.
+    /// Servers on which this request already failed.
     std::vector<std::string> excluded_servers{};
-    /// The presumed primary that refused this request with `not_primary`.
+    /// The server that was presumed to be the primary but refused this request with `not_primary`.
     std::string refused_by{};
 };
 
 /// What this proxy knows about a service's primary from its own connections.
 struct primary_observation {
     std::string id;
-    /// When its last leadership confirmation was requested.
+    /// When the primary's last leadership confirmation was requested.
     boot_clock::time_point leadership_confirmed_at{};
-    /// The last answer of any kind.
+    /// When the primary's last reply of any kind arrived.
     boot_clock::time_point last_contact_at{};
-    /// Nothing has answered at its address since `last_contact_at`.
+    /// Whether nothing has replied at the primary's address since `last_contact_at`.
     bool unreachable{false};
-    /// Its address refused a connection since then.
+    /// Whether the primary's address refused a connection after `last_contact_at`.
     bool refused{false};
-    /// It answers as the primary but has lost commits.
+    /// Whether the server replies as the primary although its log lacks commits that it or another server held.
     bool log_lost{false};
-    /// The highest log position that it is known to have reported as the primary.
+    /// The highest log position that the server is known to have reported as the primary.
     std::optional<sql::log_position> highest_position{};
 };
 
--- a/src/cornellever/routing/leadership_backoff.hpp
+++ b/src/cornellever/routing/leadership_backoff.hpp
@@ -7,27 +7,25 @@
 
 namespace cornellever::routing {
 
-/// Backoff before a server's leadership confirmations count again after it
-/// refused a statement with `not_primary`. Without it, a server that opens
-/// transactions as the primary but refuses writes would be adopted as the
-/// primary again right after each refusal, by every proxy and for every waiting
-/// statement.
+/// Ignores a server's leadership confirmations for a while after the server refused a statement with `not_primary`. A
+/// faulty server may open transactions as the primary but refuse writes. Without the backoff, every proxy would accept
+/// such a server as the primary again right after each refusal and send it every waiting statement.
 class leadership_backoff {
 public:
     using time_point = boot_clock::time_point;
 
-    /// The server refused a statement with `not_primary` while it was considered
-    /// the primary. Repeated refusals double the pause.
+    /// Records that the server refused a statement with `not_primary` while this proxy considered it the primary.
+    /// Repeated refusals double the pause.
     void note_refusal(time_point now) {
         const bool again = m_refused_at != time_point{} && now - m_refused_at < forget_after;
         m_pause = again ? std::min(m_pause * 2, max_pause) : initial_pause;
         m_refused_at = now;
     }
 
-    /// The server acknowledged a commit: ends the backoff.
+    /// Ends the backoff after the server acknowledged a commit.
     void clear() { m_refused_at = {}; }
 
-    /// Whether a leadership confirmation requested at `asked_at` counts.
+    /// Whether a leadership confirmation that was requested at `asked_at` counts.
     [[nodiscard]] bool accepts_confirmation(time_point asked_at) const {
         return m_refused_at == time_point{} || asked_at >= m_refused_at + m_pause;
     }
--- a/src/cornellever/routing/log_high_water_mark.hpp
+++ b/src/cornellever/routing/log_high_water_mark.hpp
@@ -9,17 +9,16 @@
 
 namespace cornellever::routing {
 
-/// The highest log position of the last primary that was confirmed by this proxy
-/// or reported by a peer. It detects a primary that restarted with an empty log:
-/// such a server may still confirm its leadership, and callers would see a
-/// database without their commits. A primary's log never gets shorter. Positions
-/// of different servers are not compared: a promoted server may lack commits of
-/// its predecessor, which are then rolled back and no longer promised to anyone.
+/// Stores the highest log position of the last primary that was confirmed by this proxy or reported by a peer. The
+/// position shows when a primary has restarted with an empty log: such a server may still confirm its leadership, and
+/// callers (client applications) would see a database without their commits. Otherwise a primary's log never gets
+/// shorter. Positions of different servers are not compared, because a promoted server may lack commits of the previous
+/// primary. Those commits are rolled back and no longer guaranteed to any caller.
 class log_high_water_mark {
 public:
     using time_point = boot_clock::time_point;
 
-    /// Records that the primary `server` reported `position`, received at `now`.
+    /// Records that the primary `server` reported `position` in a reply received at `now`.
     void note(const std::string& server, const sql::log_position& position, time_point now) {
         if (m_server != server || !m_highest_position || *m_highest_position < position) {
             m_server = server;
@@ -28,16 +27,15 @@
         }
     }
 
-    /// Records a position that a peer reports for `server` as the primary.
-    /// Ignored for a server other than the recorded one: the peer may not have
-    /// noticed a failover yet.
+    /// Records a position that a peer reports for `server` as the primary. A position of a server other than the
+    /// recorded one is ignored, because the peer may not have noticed a failover yet.
     void note_reported_position(const std::string& server, const sql::log_position& position, time_point now) {
         if (m_server.empty() || m_server == server) {
             note(server, position, now);
         }
     }
 
-    /// `server` is the primary now: drops the position of any other server.
+    /// Records that `server` is the primary now. Drops the recorded position if it belongs to another server.
     void set_primary(const std::string& server) {
         if (m_server != server) {
             m_server = server;
@@ -45,16 +43,15 @@
         }
     }
 
-    /// Whether `position`, reported by a server in answer to a request sent at
-    /// `asked_at`, is below the position that it reported before. Always false
-    /// for an answer that was overtaken by a later one, since its position is
-    /// legitimately older.
+    /// Whether `position`, which `server` reported in reply to a request sent at `asked_at`, is below the highest
+    /// position that `server` reported before. Always false if that highest position was recorded after `asked_at`,
+    /// because the reply may then be older than the record.
     [[nodiscard]] bool is_truncated(std::string_view server, const sql::log_position& position,
                                     time_point asked_at) const {
         return m_highest_position && m_server == server && asked_at > m_recorded_at && position < *m_highest_position;
     }
 
-    /// The highest position that `server` is known to have reported as the primary.
+    /// Returns the highest position that `server` is known to have reported as the primary.
     [[nodiscard]] std::optional<sql::log_position> highest_position_of(std::string_view server) const {
         return m_server == server ? m_highest_position : std::nullopt;
     }
--- a/src/cornellever/routing/placement.cpp
+++ b/src/cornellever/routing/placement.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 
-/// A round trip to another data centre takes 2.8 ms longer than within one; the
-/// rest accounts for the cost of traffic between data centres, which is billed.
+/// Penalty for a server in another data centre. A round trip to one takes 2.8 ms longer than within a data centre. The
+/// rest stands for the cost of traffic between data centres, which is billed.
 constexpr double other_data_center_penalty_ms = 5.0;
 
-/// Reads avoid the primary, the only server that can run writes, until the
-/// replicas are slower by this much: about the work of one read (9 ms on
-/// average).
+/// Penalty for the primary, because it is the only server that can run writes. Reads avoid the primary until the
+/// replicas are slower by this much, which is about the time of one read (9 ms on average).
 constexpr double primary_penalty_ms = 8.0;
 
-/// Replaying a session's values costs bandwidth and hardly any time.
+/// Penalty per statement that sets a session's value on a connection. Such a statement costs bandwidth and hardly any
+/// time.
 constexpr double replay_cost_ms = 0.2;
 
 double expected_ms(const placement_candidate& item) {
--- a/src/cornellever/routing/placement.hpp
+++ b/src/cornellever/routing/placement.hpp
@@ -11,20 +11,19 @@
 struct placement_candidate {
     bool same_data_center{false};
     bool primary{false};
-    /// Statements that this proxy is running there.
+    /// Statements that this proxy is running on the server.
     std::size_t in_flight{0};
-    /// Idle connections of this proxy to it.
+    /// Idle connections of this proxy to the server.
     std::size_t idle{0};
-    /// Recent average time of a statement there, including the server's own queue.
+    /// Recent average time of a statement on the server, including the server's queue.
     std::chrono::duration<double, std::milli> statement_time{0};
-    /// Statements needed to replay the session's values on a connection.
+    /// Number of statements needed to set the session's values (those of SET) on a connection.
     std::size_t replay{0};
 };
 
-/// The index of the candidate with the lowest expected latency plus penalties
-/// for its location and role; nothing when none has an idle connection.
-/// `spare_primary` keeps one connection to the primary free for statements that
-/// only the primary can run.
+/// Returns the index of the candidate with the lowest expected latency plus penalties for its location and role, or
+/// nothing if no candidate has an idle connection. `spare_primary` is true if one connection to the primary must stay
+/// free for statements that only the primary can run.
 [[nodiscard]] std::optional<std::size_t> place_read(std::span<const placement_candidate> candidates,
                                                     bool spare_primary);
 
--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -28,34 +28,34 @@
     std::unique_ptr<Link> connection;
     /// The server that it is connected to.
     pool_entry<Link>* server_entry{nullptr};
-    /// The account that the connection was opened for: the server attributes all
-    /// statements on it to that account. Empty for the proxy's own.
+    /// The account that the connection was opened for. The server attributes all statements on the connection to that
+    /// account. Empty if the connection was opened for the proxy itself or for requests without an account.
     std::string account{};
-    /// When it last became idle.
+    /// When the connection last became idle.
     boot_clock::time_point returned_at{};
     /// Session state that is set up on the connection.
     session::connection_session_state memory;
-    /// Checked out by a request or used by the pool's housekeeping.
+    /// Whether the connection is checked out by a request or used by the pool itself, for example to confirm
+    /// leadership.
     bool busy{false};
-    /// Held by a transaction that is between two statements.
+    /// Whether the connection is held by a transaction that is between two statements.
     bool idle_in_transaction{false};
-    /// A request is waiting for the answer to a statement.
+    /// Whether a request is waiting for the reply to a statement on the connection.
     bool awaiting_reply{false};
-    /// The answer is so late that it is presumed lost (see `overdue_after`).
+    /// Whether the reply is so late that it is presumed lost (see `overdue_after`).
     bool overdue{false};
-    /// A read-write transaction was opened ahead of use, which the server only
-    /// accepts as the primary. A read in it is refused once the server is no
-    /// longer the primary, so it needs no other check of freshness.
+    /// Whether the connection is primed: the proxy opened a read-write transaction on it ahead of use, which only the
+    /// primary accepts. A read in this transaction needs no other check of freshness, because the server refuses the
+    /// read once it is no longer the primary.
     bool primed{false};
-    /// When the statement that opened this transaction was sent.
+    /// When the statement that opened the primed transaction was sent.
     boot_clock::time_point primed_at{};
-    /// When the last batch was sent.
+    /// When the last batch was sent on the connection.
     boot_clock::time_point sent_at{};
 };
 
-/// Exponential moving average of the statement time on a server. It decays to a
-/// default while the server is unused, so that a server that was slow once is
-/// tried again.
+/// Exponential moving average of the statement time on a server. The average decays to a default while the server is
+/// unused, so that a server that was slow once is tried again.
 class statement_time_average {
 public:
     void record(boot_clock::time_point now, std::chrono::duration<double, std::milli> took) {
@@ -78,56 +78,53 @@
     boot_clock::time_point m_at{};
 };
 
-/// The delay after which an answer is presumed lost, given the average statement
-/// time. A lost answer blocks its connection until the statement times out (800
-/// ms for a write, which must not be retried); if that is the only connection,
-/// all other requests wait as long. One in a hundred statements takes five times
-/// the average.
+/// Returns the delay after which a reply is presumed lost, given the average statement time. A lost reply blocks its
+/// connection until the statement times out (800 ms for a write, which must not be retried). If the service has only
+/// this connection, all other requests wait that long too. One in a hundred statements takes five times the average.
 [[nodiscard]] inline std::chrono::milliseconds overdue_after(double statement_time_ms) {
     constexpr std::chrono::milliseconds shortest{100};
     constexpr double multiple = 4.0;
     return std::max(shortest, std::chrono::milliseconds{std::llround(multiple * statement_time_ms)});
 }
 
-/// One backend server, its pooled connections and its observed state.
+/// One backend server (`server`), its pooled connections and its observed state.
 template <backend_link Link>
 struct pool_entry {
     using time_point = boot_clock::time_point;
 
     backend_server server;
     std::vector<std::unique_ptr<pooled_slot<Link>>> open_connections;
-    /// Connections being opened, and the accounts of those opened for one.
+    /// Number of connections being opened, and the accounts of those that are opened for an account.
     std::size_t opening{0};
     std::vector<std::string> opening_for;
     /// Backoff: no connection is opened before this time.
     time_point open_after{};
     int failed_opens{0};
-    /// When it last refused a connection with `too_many_connections`.
+    /// When the server last refused a connection with `too_many_connections`.
     time_point limit_reached_at{};
     statement_time_average statement_time;
-    /// Statements that this proxy is running there.
+    /// Statements that this proxy is running on the server.
     std::size_t in_flight{0};
-    /// How far it has applied the log; unused for the primary.
+    /// How far the server has applied the log; unused for the primary.
     replica_progress progress;
     leadership_backoff refusal_backoff;
-    /// Since when it is the primary with an empty log while another registered
-    /// server, which may hold its commits, has not answered yet.
+    /// Since when the server is the primary with an empty log while another registered server, which may hold the
+    /// service's commits, has not replied yet.
     std::optional<time_point> empty_log_since;
-    /// The last answer of any kind, refused connection and timeout.
+    /// The times of the last reply of any kind, the last refused connection and the last timeout.
     time_point last_contact_at{};
     time_point refused_at{};
     time_point timed_out_at{};
-    /// Deregistered or restarted; the entry is kept until its connections have
-    /// been returned.
+    /// Whether the server was deregistered or restarted. The entry is kept until the connections have been returned to
+    /// the pool.
     bool retired{false};
-    /// Set when the server restarted or lost its log: leadership confirmations
-    /// requested earlier don't count.
+    /// Leadership confirmations requested up to this time do not count. Set when the server restarted or lost its log.
     time_point leadership_valid_after{};
-    /// When it was first seen draining.
+    /// When the server was first seen draining (finishing its work before it stops).
     std::optional<time_point> draining_since;
 
-    /// Whether it is not used as the primary yet because of its empty log: the
-    /// other server may still answer.
+    /// Whether the server is not used as the primary yet because its log is empty and another server may still reply
+    /// with the commits.
     [[nodiscard]] bool awaits_other_logs(time_point now) const {
         return empty_log_since && now - *empty_log_since < other_logs_wait;
     }
@@ -135,14 +132,13 @@
     /// Connections that are open or being opened.
     [[nodiscard]] std::size_t held() const noexcept { return open_connections.size() + opening; }
 
-    /// Any idle connection; null when there is none.
+    /// Returns any idle connection, or null if there is none.
     [[nodiscard]] pooled_slot<Link>* any_idle() const {
         const auto found = std::ranges::find_if(open_connections, [](const auto& item) { return !item->busy; });
         return found == open_connections.end() ? nullptr : found->get();
     }
 
-    /// The least recently used idle connection whose account `matches`; null when
-    /// there is none.
+    /// Returns the least recently used idle connection whose account `matches` accepts, or null if there is none.
     template <std::predicate<const std::string&> Predicate>
     [[nodiscard]] pooled_slot<Link>* longest_idle(Predicate matches) const {
         pooled_slot<Link>* out = nullptr;
@@ -154,8 +150,7 @@
         return out;
     }
 
-    /// Connections of an account that can run a statement now or soon, including
-    /// those being opened.
+    /// Number of connections of an account that can run a statement now or soon, including those being opened.
     [[nodiscard]] std::size_t usable_count(std::string_view account) const {
         const auto open = std::ranges::count_if(open_connections, [&](const auto& item) {
             return item->account == account && !item->idle_in_transaction && !item->overdue;
@@ -173,8 +168,7 @@
             std::ranges::count_if(open_connections, [](const auto& item) { return !item->busy; }));
     }
 
-    /// Connections in use, except those idle in a transaction and those whose
-    /// answer is overdue.
+    /// Number of connections in use, except those idle in a transaction and those whose reply is overdue.
     [[nodiscard]] std::size_t active_count() const {
         return static_cast<std::size_t>(std::ranges::count_if(open_connections, [](const auto& item) {
             return item->busy && !item->idle_in_transaction && !item->overdue;
@@ -186,8 +180,7 @@
             std::ranges::count_if(open_connections, [](const auto& item) { return item->overdue; }));
     }
 
-    /// Marks the connections whose answer has become overdue; true when there
-    /// are new ones.
+    /// Marks the connections whose reply has become overdue. Returns whether any connection was newly marked.
     bool mark_overdue(time_point now) {
         const auto limit = overdue_after(statement_time.value(now));
         bool out = false;
@@ -200,11 +193,11 @@
         return out;
     }
 
-    /// Whether the last attempt to reach it was refused or timed out.
+    /// Whether the last attempt to reach the server was refused or timed out.
     [[nodiscard]] bool unreachable() const noexcept { return std::max(refused_at, timed_out_at) > last_contact_at; }
 
 private:
-    /// Longer than most servers take to restart.
+    /// How long to wait for replies of the other servers; longer than most servers take to restart.
     static constexpr std::chrono::milliseconds other_logs_wait{5000};
 };
 
--- a/src/cornellever/routing/read_floor.cpp
+++ b/src/cornellever/routing/read_floor.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// Samples closer together than this are merged, which keeps the list short and
-/// makes a read floor at most this much stricter than necessary.
+/// Samples that are closer together than this are merged, which keeps the list short. A read floor may then be newer
+/// than necessary by at most this time.
 constexpr auto min_spacing = std::chrono::milliseconds{40};
 
-/// Well above the freshness bounds of routes (up to 2.5 s).
+/// How long samples are kept: well above the freshness bounds of routes (up to 2.5 s).
 constexpr auto retention = std::chrono::seconds{10};
 
-/// The longest time after the primary at which replicas apply a commit: 20 to
-/// 50 ms on average, 300 ms at worst.
+/// The longest time by which replicas apply a commit after the primary. The delay is 20 to 50 ms on average and 300 ms
+/// at worst.
 constexpr auto max_apply_delay = std::chrono::milliseconds{300};
 
 } // namespace
@@ -33,8 +33,8 @@
         }
     }
     if (m_samples.empty()) {
-        // After a start the proxy can't know when the term began and assumes that
-        // it began long ago.
+        // When the proxy has just started, it does not know when the term began and assumes that the term began long
+        // ago.
         m_term_start = sample.position.number;
         m_first_entry = m_term_start;
     } else if (m_samples.back().position.term < sample.position.term) {
@@ -78,20 +78,18 @@
                         [&](const auto& sample) { return entry_known(sample); });
 }
 
-/// Whether a commit of an older term was missing on the current primary when it
-/// was promoted. No guarantee covers it any more, and no log will hold it.
+/// Whether the current primary lacked a commit of an older term when it was promoted. Such a commit is no longer
+/// guaranteed to any caller, and no log will hold it.
 bool read_floor::rolled_back(const sql::log_position& at) const {
     return at.term < m_samples.back().position.term && at.number > m_term_start;
 }
 
-// Any sample that is recent enough is sufficient, but logs must hold an entry at
-// its position. A new primary's first position combines its own term with the
-// number of the last entry of an older term, and no log holds that position until
-// the next commit. Used as a floor, it would make replicas that are up to date
-// refuse all reads for 2.5 s after a promotion, and send these to the primary. A
-// position of the older term remains valid: a log that holds it has everything
-// acknowledged before. It is replaced by one of the new term once replicas have
-// applied that, because it may have been rolled back.
+// Any sample that is recent enough is sufficient, but logs must hold an entry at its position. The first position of a
+// new primary combines the new term with the number of the last entry of an older term, and no log holds that position
+// until the next commit. If that position were the read floor, replicas that are up to date would refuse all reads for
+// 2.5 s after a promotion, and the primary would have to serve these reads. A position of the older term remains valid,
+// because a log that holds this position holds everything acknowledged before. Since such a position may have been
+// rolled back, it is replaced by one of the new term as soon as replicas have applied the new one.
 sql::log_position read_floor::lowest_sufficient(std::size_t oldest, time_point now) const {
     const auto& first = m_samples[oldest];
     if (entry_known(first)) {
@@ -119,16 +117,15 @@
     }
     const auto out = lowest_sufficient(static_cast<std::size_t>(oldest - m_samples.begin()), now);
     if (!own_commit || in_current_term(out)) {
-        // A log that holds an entry of the current term holds everything that was
-        // kept of earlier terms.
+        // A log that holds an entry of the current term holds all commits of earlier terms that were not rolled back.
         return own_commit && own_commit->term == out.term ? std::max(out, *own_commit) : out;
     }
     if (!rolled_back(*own_commit)) {
         return std::max(out, *own_commit);
     }
-    // The session's last commit was rolled back, but an earlier one may have been
-    // kept, which a sample of an older term doesn't guarantee. Any entry of the
-    // current term does.
+    // The session's last commit was rolled back, but an earlier commit of the session may have been kept. A log that
+    // holds a sample's position of an older term may lack that earlier commit, while a log that holds any entry of the
+    // current term has it.
     const auto known = first_known(0);
     return known == m_samples.end() ? std::nullopt : std::optional{known->position};
 }
--- a/src/cornellever/routing/replica_progress.cpp
+++ b/src/cornellever/routing/replica_progress.cpp
@@ -10,8 +10,7 @@
     m_seen_at = at;
     const auto passed = primary.passed_at(applied);
     const auto lag = passed && at > *passed ? at - *passed : std::chrono::nanoseconds{0};
-    // The lag varies from commit to commit: a longer lag is adopted at once, a
-    // shorter one is averaged in.
+    // The lag varies from commit to commit. A longer lag is adopted immediately, and a shorter lag is averaged in.
     m_lag = lag > m_lag ? lag : (m_lag + lag) / 2;
 }
 
--- a/src/cornellever/routing/servers_by_service.hpp
+++ b/src/cornellever/routing/servers_by_service.hpp
@@ -11,7 +11,7 @@
 /// The servers of a registry grouped by service, each group ordered by id.
 using servers_by_service = std::map<std::string, std::vector<const backend_server*>, std::less<>>;
 
-/// The result points into `servers`, which must outlive it unchanged.
+/// Returns the servers grouped by service. The result points into `servers`, which must outlive the result unchanged.
 [[nodiscard]] inline servers_by_service group_by_service(const registry& servers) {
     servers_by_service out;
     for (const auto& [id, server] : servers.servers) {
--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -30,10 +30,9 @@
 
 namespace cornellever::routing {
 
-/// The connection pool of this proxy for the servers of one service. It opens
-/// connections within a budget, lends them to requests, keeps idle connections to
-/// the primary primed (see `pooled_slot`), tracks which server is the primary and
-/// collects freshness samples. Used from the traffic thread only.
+/// The connection pool of this proxy for the servers of one service. The pool opens connections within a budget and
+/// lends them to requests. It keeps idle connections to the primary primed (see `pooled_slot`), tracks which server is
+/// the primary and collects freshness samples. Used from the traffic thread only.
 template <link_connector Connector>
 class service_pool {
 public:
@@ -53,11 +52,10 @@
     service_pool(const service_pool&) = delete;
     service_pool& operator=(const service_pool&) = delete;
 
-    /// Sets how many connections to each server this proxy may hold, how many
-    /// proxies share the servers, and whether it is a connection owner. A proxy
-    /// that is not opens connections only for requests that it can't relay, and
-    /// closes them afterwards. `under_load` replaces `connections` while requests
-    /// of accounts without a connection wait.
+    /// Sets how many `connections` to each server this proxy may hold and how many `proxies` share the servers. `owned`
+    /// is true if this proxy is a connection owner, which keeps connections open. Any other proxy relays requests to
+    /// the owners, opens connections only for requests that it cannot relay, and closes them afterwards. `under_load`
+    /// replaces `connections` while requests of accounts without a connection wait.
     void set_budget(std::size_t connections, std::size_t proxies, bool owned = true, std::size_t under_load = 0) {
         m_budget = connections;
         m_proxies = proxies;
@@ -65,24 +63,24 @@
         m_budget_under_load = std::max(under_load, connections);
     }
 
-    /// A new configuration takes effect. Transactions opened before belong to the
-    /// previous configuration, so no statement routed by the new one may use them.
+    /// Records that a new configuration takes effect. Transactions opened before belong to the previous configuration,
+    /// so no statement routed by the new one may use them.
     void start_epoch(time_point now) { m_epoch = now; }
 
-    /// Whether statements may use the transaction that was opened ahead on `held`.
+    /// Whether statements may use the transaction that the proxy opened on `held` ahead of use.
     [[nodiscard]] bool is_primed(const slot& held) const { return held.primed && held.primed_at >= m_epoch; }
 
     /// Replaces the registered servers of the service.
     void update(std::span<const backend_server* const> servers);
 
-    /// Checks out a connection for `request`, waiting until `request.until`. The
-    /// lease is empty when none became free or none is expected to in time.
+    /// Checks out a connection for `request` and waits for one until `request.until`. The returned lease is empty if no
+    /// connection became free in time, or if none is expected to.
     asio::awaitable<lease> acquire(connection_request request);
 
-    /// Periodic housekeeping; the caller sets the period.
+    /// Runs the periodic maintenance. The calling code sets the period.
     void tick();
 
-    /// Records an answer of a server; `took` is set for statements executed there.
+    /// Records a reply from a server. `took` is set for statements that the server executed.
     void note_reply(entry& from, std::optional<std::chrono::nanoseconds> took) {
         from.last_contact_at = boot_clock::now();
         if (took) {
@@ -97,7 +95,7 @@
         }
     }
 
-    /// Records the log position in an answer of a replica.
+    /// Records the log position in a reply from a replica.
     void note_position(entry& from, const std::optional<sql::log_position>& position) {
         if (position && from.server.id != m_primary) {
             from.progress.note(*position, boot_clock::now(), m_read_floor);
@@ -110,24 +108,23 @@
     /// Records that a server acknowledged a commit sent at `sent_at`.
     void note_commit(entry& from, time_point sent_at, const std::optional<sql::log_position>& position);
 
-    /// A peer received a leadership confirmation of `id`, requested at
-    /// `leadership_confirmed_at`. What this proxy knows itself about the server's
-    /// log and its refusals takes precedence.
+    /// Records that a peer received a leadership confirmation from `id` that was requested at
+    /// `leadership_confirmed_at`. What this proxy has observed itself about the server's log and refusals takes
+    /// precedence.
     void accept_peer_confirmation(const std::string& id, time_point leadership_confirmed_at);
 
-    /// A peer reports the log position that `id` had reached as the primary.
+    /// Records the log position that `id` had reached as the primary according to a peer.
     void note_reported_position(const std::string& id, const sql::log_position& position) {
         m_high_water_mark.note_reported_position(id, position, boot_clock::now());
     }
 
-    /// Adds a sample received from a peer. Its time may be too early, never too
-    /// late.
+    /// Adds a freshness sample received from a peer. The time of the sample may be too early, never too late.
     void add_sample(const freshness_sample& sample) { m_read_floor.add(sample); }
 
     [[nodiscard]] const read_floor& floor() const noexcept { return m_read_floor; }
     [[nodiscard]] const std::string& primary() const noexcept { return m_primary; }
-    /// Whether the primary's leadership was confirmed to this proxy or to a peer.
-    /// The registered role alone may be wrong for a server that just restarted.
+    /// Whether the primary's leadership was confirmed to this proxy or to a peer. The registered role alone is not
+    /// enough, since it may be wrong for a server that just restarted.
     [[nodiscard]] bool leadership_confirmed() const noexcept { return m_leadership_confirmed_at != time_point{}; }
     /// Requests in the wait queue.
     [[nodiscard]] std::size_t waiting() const noexcept { return m_wait_queue.size(); }
@@ -135,25 +132,24 @@
         return m_entries;
     }
 
-    /// This proxy's observation of the primary, to be shared with peers.
+    /// Returns this proxy's observation of the primary, to be sent to peers.
     [[nodiscard]] primary_observation observation() const;
 
-    /// The load that a request faces if it waits as long as `limits` allow: the
-    /// capacity of the eligible servers and the requests queued ahead of it.
+    /// Returns the load that a request faces if it waits as long as `limits` allow, from the capacity of the eligible
+    /// servers and the number of requests queued ahead.
     [[nodiscard]] load_view expected_load(const connection_request& request, const time_limits& limits) const;
 
-    /// Marks whether a request waits for an answer on `held`.
+    /// Sets whether a request waits for a reply on `held`.
     void set_awaiting_reply(slot& held, bool awaiting_reply) {
         held.awaiting_reply = awaiting_reply;
         held.overdue = false;
     }
 
-    /// Marks a connection as held by a transaction that is between two statements;
-    /// another request may use its share of the server's concurrency.
+    /// Marks a connection as held by a transaction that is between two statements. The connection then does not count
+    /// towards this proxy's concurrency on the server, so another request may run.
     void mark_idle_in_transaction(slot& held);
 
-    /// Whether any request needed a connection since connections were last closed
-    /// for lack of use.
+    /// Whether any request has needed a connection since the pool last closed its unused connections.
     [[nodiscard]] bool used() const noexcept { return m_used; }
 
     /// Whether the primary is known and the last attempt to reach it succeeded.
@@ -162,16 +158,16 @@
         return found != m_entries.end() && !found->second->unreachable();
     }
 
-    /// Whether the primary has been unreachable for at least `span`: either it
-    /// failed or the network path to it did.
+    /// Whether the primary has been unreachable for at least `span`, because either the primary or the network path to
+    /// it failed.
     [[nodiscard]] bool primary_unreachable_for(std::chrono::milliseconds span) const {
         const auto found = m_entries.find(m_primary);
         return found != m_entries.end() && found->second->unreachable() &&
                boot_clock::now() - found->second->last_contact_at >= span;
     }
 
-    /// Sets whether peers reach the primary while this proxy doesn't. In that case
-    /// no other server is going to be promoted.
+    /// Sets whether peers reach the primary while this proxy does not. In that case no other server is going to be
+    /// promoted.
     void set_path_cut(bool cut) { m_path_cut = cut; }
     [[nodiscard]] bool path_cut() const noexcept { return m_path_cut; }
 
@@ -181,19 +177,17 @@
         tick();
     }
 
-    /// Opens a transaction on a connection in use, which confirms the server's
-    /// leadership; true when the connection is primed. Waits for the answer,
-    /// because a read pipelined behind a refused BEGIN would run unconfirmed.
+    /// Opens a transaction on a connection in use, which confirms the server's leadership, and returns whether the
+    /// connection is primed. The function waits for the reply, because a read that was pipelined behind a refused BEGIN
+    /// would run without a confirmation.
     asio::awaitable<bool> confirm_leadership(slot& held, time_point until);
 
-    /// Requests a leadership confirmation from one server on an idle or a new
-    /// connection.
+    /// Requests a leadership confirmation from one server on an idle or a new connection.
     asio::awaitable<void> probe(std::string id);
 
-    /// Whether a server is the primary, checked on a new connection because an
-    /// existing one may be dead. A server that refuses the connection with
-    /// `too_many_connections` is alive and counts as the primary; one that doesn't
-    /// answer within `limit` doesn't.
+    /// Whether a server is the primary. The check uses a new connection because an existing one may be dead. A server
+    /// that refuses the connection with `too_many_connections` is alive and counts as the primary. A server that does
+    /// not reply within `limit` does not.
     asio::awaitable<bool> is_primary_now(std::string id, std::chrono::milliseconds limit);
 
     /// Sends a control command to one server, for example for its status.
@@ -209,7 +203,7 @@
         time_point enqueued_at{};
         asio::steady_timer timer;
         slot* granted{nullptr};
-        /// It was overtaken and is no longer expected to be served in time.
+        /// Whether the request was overtaken by another one and is no longer expected to be served in time.
         bool too_late{false};
     };
 
@@ -236,8 +230,8 @@
         m_used_at = boot_clock::now();
     }
     void close_unused(time_point now);
-    /// Account connections may exceed the budget for a while, except on a server
-    /// that recently reached its connection limit.
+    /// Returns how many connections to a server may be open. Connections that belong to accounts may exceed the budget
+    /// for a while, except on a server that recently reached its connection limit.
     [[nodiscard]] std::size_t connection_cap(const entry& at) const {
         return m_account_traffic && boot_clock::now() - at.limit_reached_at >= limit_reached_for ? m_budget_under_load
                                                                                                  : m_budget;
@@ -275,41 +269,38 @@
     void poll_progress(entry& at, time_point now);
     asio::awaitable<void> query_position(slot& held);
 
-    /// Timeout of control statements, which take no execution slot: several round
-    /// trips (3 ms) plus time for a slow VM.
+    /// Timeout of control statements, which take no execution slot. It covers several round trips (3 ms) and the delays
+    /// of a slow VM.
     static constexpr std::chrono::milliseconds control_limit{600};
     static constexpr std::chrono::milliseconds open_limit{900};
     static constexpr std::chrono::milliseconds initial_backoff{60};
     static constexpr std::chrono::milliseconds max_backoff{600};
-    /// After this time without traffic to the primary, a leadership confirmation is
-    /// requested: the freshness bound of reads may be 1.5 s, and a failed primary
-    /// has to be detected.
+    /// A leadership confirmation is requested after this time without traffic to the primary. The time is short because
+    /// the freshness bound of reads may be 1.5 s and a failed primary has to be detected.
     static constexpr std::chrono::milliseconds refresh_after{200};
     static constexpr std::chrono::milliseconds search_period{40};
-    /// Account connections being opened to one server at a time: each opening
-    /// takes one of the server's execution slots for as long as a short statement.
+    /// Maximum number of account connections that are being opened to one server concurrently. Each opening takes one
+    /// of the server's execution slots for as long as a short statement.
     static constexpr std::size_t max_openings = 2;
-    /// A replica with a larger replication lag is polled for its position, so that
-    /// reads return to it without being refused first. Replicas apply a commit
-    /// within 50 ms on average.
+    /// A replica with a larger replication lag is polled for its log position. Reads can then be sent to the replica
+    /// again as soon as it has caught up, without trying it and being refused. Replicas apply a commit within 50 ms on
+    /// average.
     static constexpr std::chrono::milliseconds normal_lag{150};
     static constexpr std::chrono::milliseconds progress_poll_period{100};
-    /// A proxy that is not a connection owner closes its connections after this
-    /// time without a request: longer than a transaction stays idle, and short
-    /// compared with a network partition. If such proxies keep the connections they
-    /// opened during a partition, the servers stay at their connection limit: after
-    /// a 12 s partition of a third of 195 proxies, 1 in 30 requests was refused.
+    /// A proxy that is not a connection owner closes its connections after this time without a request. The time is
+    /// longer than a transaction stays idle and short compared with a network partition. If such proxies kept the
+    /// connections that they open during a partition, the servers would stay at their connection limit: after a 12 s
+    /// partition of a third of 195 proxies, 1 in 30 requests was refused.
     static constexpr std::chrono::milliseconds unused_for{1000};
-    /// A connection beyond the budget is closed after being idle for this long: the
-    /// time of a few statements, during which its account made no request.
+    /// A connection beyond the budget is closed after being idle for this long. By then the connection's account has
+    /// made no request for the time of a few statements.
     static constexpr std::chrono::milliseconds surplus_after{300};
-    /// For this long after a server refused a connection at its limit, the budget
-    /// is not exceeded there. A server counts the connections of processes that lost
-    /// power for another 3 s, and more connections of this proxy would keep proxies
-    /// without any from reconnecting.
+    /// For this long after a server refused a connection at its limit, this proxy does not exceed its budget on that
+    /// server. The server counts the connections of processes that lost power for another 3 s. If this proxy opened
+    /// more connections in that time, proxies without any could not reconnect.
     static constexpr std::chrono::milliseconds limit_reached_for{3500};
-    /// A server is registered as draining 7 s before it stops. Only the primary gets
-    /// new requests while draining, and only for this long.
+    /// How long a draining primary gets new requests. A server is registered as draining 7 s before it stops; draining
+    /// replicas get no new requests.
     static constexpr std::chrono::milliseconds draining_primary_use{5500};
 
     asio::any_io_executor m_executor;
@@ -331,7 +322,7 @@
     time_point m_epoch{};
     bool m_searching{false};
     bool m_used{false};
-    /// Requests of accounts have arrived: each connection is opened for one account.
+    /// Whether requests that belong to accounts have arrived. From then on, each connection is opened for one account.
     bool m_account_traffic{false};
     time_point m_used_at{};
     bool m_is_owner{true};
--- a/src/cornellever/routing/service_pool.ipp
+++ b/src/cornellever/routing/service_pool.ipp
@@ -20,8 +20,8 @@
         } else if (!item->draining) {
             at->draining_since.reset();
         }
-        // A stale registration of an earlier primary may still exist beside a
-        // primary that lost its log.
+        // After a primary has lost its log, the registry may still hold an outdated registration of an earlier primary.
+        // In that case the registered role alone does not make a server the primary.
         const bool unconfirmed = !m_log_lost_server.empty() || at->awaits_other_logs(now);
         if (m_primary.empty() && item->role == server_role::primary && !unconfirmed) {
             m_primary = item->id;
@@ -35,9 +35,8 @@
     }
 }
 
-/// Retires the entries of servers that are not among `servers` and of those that
-/// restarted under the same id, whose observed state is obsolete. Returns the ids
-/// of the restarted servers.
+/// Retires the entries of servers that are not among `servers`, and of servers that restarted under the same id,
+/// because their observed state is obsolete. Returns the ids of the restarted servers.
 template <link_connector Connector>
 std::set<std::string, std::less<>>
 service_pool<Connector>::retire_all_but(std::span<const backend_server* const> servers) {
@@ -78,8 +77,7 @@
     }
 }
 
-/// Retires an entry: closes its idle connections now and those in use when they
-/// are returned.
+/// Retires an entry. Its idle connections are closed now, and those in use when they are returned to the pool.
 template <link_connector Connector>
 void service_pool<Connector>::retire(entry& old_entry) {
     old_entry.retired = true;
@@ -157,8 +155,9 @@
                            : 0});
         at.push_back(item.get());
     }
-    // An account rarely has more than one connection to a server. Keeping that
-    // free for writes would open another one elsewhere for each read.
+    // A connection to the primary is kept free for writes only among connections without an account. An account rarely
+    // has more than one connection to a server, so keeping that one free would open another connection elsewhere for
+    // each read.
     const bool spare_primary = !request.primary && replica_connected && m_budget > 1 && request.account.empty();
     const auto chosen = place_read(candidates, spare_primary);
     if (!chosen) {
@@ -234,7 +233,7 @@
     make_idle(added);
 }
 
-/// Adds an open connection, marked as in use.
+/// Adds an open connection and marks it as in use.
 template <link_connector Connector>
 typename service_pool<Connector>::slot& service_pool<Connector>::add_slot(entry& at, std::unique_ptr<link> connection,
                                                                           const std::string& account) {
@@ -262,8 +261,8 @@
     asio::co_spawn(m_executor, await_pending(held), asio::detached);
 }
 
-/// Reads the answers that a request left pending. If the last one opened a
-/// transaction on the primary, the connection is primed.
+/// Reads the replies that a request left pending. If the last reply shows an open transaction on the primary, the
+/// connection is marked as primed.
 template <link_connector Connector>
 asio::awaitable<void> service_pool<Connector>::await_pending(slot& held) {
     auto last = co_await held.connection->await_pending(boot_clock::now() + control_limit);
--- a/src/cornellever/routing/service_pool_accounts.ipp
+++ b/src/cornellever/routing/service_pool_accounts.ipp
@@ -1,7 +1,7 @@
 #pragma once
 
-// Connections that belong to one account each: when to open one and which idle
-// connection to evict for it.
+// When to open a connection for an account, and which idle connection to evict for it. Each of these connections
+// belongs to one account.
 
 namespace cornellever::routing {
 
@@ -18,15 +18,14 @@
 template <link_connector Connector>
 bool service_pool<Connector>::may_open_for(const entry& at, const std::string& account, bool urgent,
                                            time_point now) const {
-    // More connections of one account than statements that may run there
-    // concurrently would only take connections from other accounts.
+    // If an account had more connections than statements that may run on the server concurrently, the surplus would
+    // only take connections from other accounts.
     return now >= at.open_after && at.opening_for.size() < max_openings &&
            at.usable_count(account) < max_concurrency(at) &&
            (has_room(at) || eviction_candidate(at, account, urgent) != nullptr);
 }
 
-/// The best server for a new connection of the request's account; null when none
-/// may be opened.
+/// Returns the best server for a new connection of the request's account, or null if no connection may be opened.
 template <link_connector Connector>
 typename service_pool<Connector>::entry*
 service_pool<Connector>::choose_server_to_open(const connection_request& request) {
@@ -49,10 +48,10 @@
     return chosen ? at[*chosen] : nullptr;
 }
 
-/// Opens a connection for an account. When this proxy's share of the server is
-/// used up, the least recently used idle connection is evicted: the account of a
-/// connection is fixed when it is opened, so it can't be reused for another one.
-/// Connections that queued requests can use are spared, unless `urgent`.
+/// Opens a connection for an account. If this proxy already holds as many connections to the server as it may, the
+/// least recently used idle connection is evicted. That connection cannot be reused, because the account of a
+/// connection is fixed when it is opened. Connections that queued requests can use are not evicted unless `urgent` is
+/// true.
 template <link_connector Connector>
 void service_pool<Connector>::open_for_account(entry& at, const std::string& account, bool urgent) {
     if (!has_room(at)) {
@@ -71,12 +70,10 @@
     }
 }
 
-/// Whether a request has waited so long that it may evict a connection that other
-/// queued requests can use. Opening a connection takes one of the server's
-/// execution slots for half as long as a statement, so existing connections are
-/// normally reused by their own account first. Without a limit, an account with
-/// many requests would take every connection that becomes free and starve accounts
-/// with few.
+/// Whether a request has waited so long that it may evict a connection that other queued requests can use. Opening a
+/// connection takes one of the server's execution slots for half as long as a statement, so a free connection normally
+/// first serves other requests of its own account. Without this limit, an account with many requests would keep every
+/// connection that becomes free and starve accounts with few.
 template <link_connector Connector>
 bool service_pool<Connector>::has_waited_long(const entry& at, const waiter& item, time_point now) const {
     constexpr double statements = 2.0;
@@ -84,8 +81,8 @@
            statements * at.statement_time.value(now);
 }
 
-/// Grants an idle connection of its account to a waiter; false when there is none.
-/// In that case a connection is opened for it, unless one is already on its way.
+/// Grants a waiting request an idle connection of the request's account and returns whether there was one. If not, a
+/// connection is opened for the account, unless one is already being opened.
 template <link_connector Connector>
 bool service_pool<Connector>::try_serve(entry& at, waiter& next) {
     if (auto* idle = best_idle(at, next.request); idle != nullptr) {
--- a/src/cornellever/routing/service_pool_leadership.ipp
+++ b/src/cornellever/routing/service_pool_leadership.ipp
@@ -1,11 +1,11 @@
 #pragma once
 
-// Which server is the primary, by its own answers and by reports of peers.
+// How the pool decides which server is the primary, from the servers' replies and from reports of peers.
 
 namespace cornellever::routing {
 
-/// Evaluates the last answer on a connection. An open read-write transaction
-/// confirms that its server is the primary, and the connection is primed.
+/// Evaluates the last reply on a connection. An open read-write transaction confirms that the server is the primary,
+/// and the connection is marked as primed.
 template <link_connector Connector>
 void service_pool<Connector>::evaluate_leadership(slot& held, const sql::reply& from) {
     auto& at = *held.server_entry;
@@ -30,11 +30,10 @@
     }
 }
 
-/// Whether a primary has lost commits, by the position `reported` in its answer to a
-/// request sent at `asked_at`: the position is lower than before, or the log is
-/// empty while another server holds entries. This includes an empty server that
-/// was promoted over one with entries: nothing is lost if the other becomes the
-/// primary.
+/// Whether a primary has lost commits, judged by the position `reported` in its reply to a request sent at `asked_at`.
+/// Commits are lost if the position is lower than before, or if the log is empty while another server holds entries.
+/// The latter includes an empty server that was promoted in place of a server with entries; its leadership is
+/// disregarded too, because no commits are lost if the other server becomes the primary.
 template <link_connector Connector>
 bool service_pool<Connector>::lacks_commits(const entry& at, const sql::log_position& reported,
                                             time_point asked_at) const {
@@ -48,9 +47,8 @@
            });
 }
 
-/// Whether a primary with an empty log must wait for the positions of the other
-/// servers: this proxy knows of no commit, and a new service looks the same as one
-/// that lost its log.
+/// Whether a primary with an empty log must wait until the other servers have reported their positions. If this proxy
+/// knows of no commit, it cannot distinguish a new service from one whose primary lost its log.
 template <link_connector Connector>
 bool service_pool<Connector>::needs_other_logs(entry& at, const sql::log_position& reported) const {
     const bool other_unknown = std::ranges::any_of(m_entries, [&](const auto& item) {
@@ -69,9 +67,8 @@
     return at.awaits_other_logs(now);
 }
 
-/// Disregards the leadership of a server that lost commits, so that a server that
-/// has them is promoted. New connections to it are attempted with the longest
-/// backoff.
+/// Disregards the leadership of a server that lost commits, so that a server that has the commits is promoted. New
+/// connections to the former server are attempted with the longest backoff.
 template <link_connector Connector>
 void service_pool<Connector>::note_log_lost(entry& at, const sql::log_position& reported) {
     const auto now = boot_clock::now();
--- a/src/cornellever/routing/service_pool_primary.ipp
+++ b/src/cornellever/routing/service_pool_primary.ipp
@@ -1,7 +1,6 @@
 #pragma once
 
-// Requests for leadership confirmations and log positions; the search for the
-// primary.
+// Requests for leadership confirmations and log positions, and the search for the primary.
 
 namespace cornellever::routing {
 
@@ -25,7 +24,7 @@
     co_return held.primed;
 }
 
-/// Confirms leadership again on a connection that the caller marked busy.
+/// Confirms leadership again on a connection that the calling code marked busy.
 template <link_connector Connector>
 asio::awaitable<void> service_pool<Connector>::refresh_leadership(slot& held) {
     (void)co_await confirm_leadership(held, boot_clock::now() + control_limit);
@@ -128,7 +127,7 @@
         note_failure(at, answer.error());
     }
     if (!m_used) {
-        // Without requests for the service, no connections to it are kept open.
+        // The pool keeps no connections open while there are no requests for the service.
         held->connection->close();
     }
     check_in(*held);
@@ -177,7 +176,7 @@
             close_surplus(*at, now);
         }
         if (m_account_traffic && !m_wait_queue.empty()) {
-            // Retries connections that failed to open.
+            // Retries to open connections for queued requests after earlier attempts failed.
             serve_queue(*at);
         }
     }
@@ -209,8 +208,8 @@
     }
 }
 
-/// Polls a replica for its position on a connection that the caller marked busy.
-/// An empty transaction suffices and takes no execution slot there.
+/// Polls a replica for its log position on a connection that the calling code marked busy. An empty transaction
+/// suffices for that and takes no execution slot on the replica.
 template <link_connector Connector>
 asio::awaitable<void> service_pool<Connector>::query_position(slot& held) {
     std::vector<sql::command> batch;
@@ -240,7 +239,7 @@
         out.unreachable = at.unreachable();
         out.refused = at.refused_at > at.last_contact_at;
     } else if (const auto log_lost_entry = m_entries.find(m_log_lost_server); log_lost_entry != m_entries.end()) {
-        // Reported as unreachable: the server answers, but not as a valid primary.
+        // The server is reported as unreachable because it replies but is no valid primary.
         out.id = m_log_lost_server;
         out.last_contact_at = log_lost_entry->second->leadership_valid_after;
         out.unreachable = true;
--- a/src/cornellever/routing/service_pool_queue.ipp
+++ b/src/cornellever/routing/service_pool_queue.ipp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The wait queue and the expected waiting times of its requests.
+// The wait queue for connections, and the expected waiting times of the queued requests.
 
 namespace cornellever::routing {
 
@@ -37,8 +37,8 @@
     next.timer.cancel();
 }
 
-/// Grants idle connections of a server to queued requests, within this proxy's
-/// share of the server's concurrency.
+/// Grants idle connections of a server to queued requests, as long as this proxy runs no more statements on the server
+/// than it may (see `max_concurrency`).
 template <link_connector Connector>
 void service_pool<Connector>::serve_queue(entry& at) {
     const auto now = boot_clock::now();
@@ -55,10 +55,9 @@
     }
 }
 
-/// Replaces connections whose answer is overdue until that answer arrives or times
-/// out. The replacements use the part of the server's connection limit that is
-/// reserved for connections of dead processes, and at most double the number of
-/// connections.
+/// Opens replacements for connections whose reply is overdue, until that reply arrives or times out. The replacements
+/// use the part of the server's connection limit that is reserved for connections of dead processes. They at most
+/// double the number of connections.
 template <link_connector Connector>
 void service_pool<Connector>::replace_overdue(entry& at, time_point now) {
     if (!at.mark_overdue(now)) {
@@ -82,7 +81,7 @@
     serve_queue(*held.server_entry);
 }
 
-/// The servers eligible for a request, by their index in `m_entries`.
+/// Returns the servers eligible for a request, as bits whose index is the server's index in `m_entries`.
 template <link_connector Connector>
 server_set service_pool<Connector>::servers_for(const connection_request& request, time_point now) const {
     server_set out = 0;
@@ -101,8 +100,8 @@
     std::vector<server_capacity> out;
     out.reserve(m_entries.size());
     for (const auto& [id, at] : m_entries) {
-        // With account connections, any idle one can be replaced by one of another
-        // account within the time of a handshake.
+        // If connections belong to accounts, any idle connection can be replaced by one of another account within the
+        // time of a handshake.
         const auto connections =
             m_account_traffic && !at->open_connections.empty() ? m_budget : at->open_connections.size();
         out.push_back({std::min(max_concurrency(*at), connections),
@@ -136,9 +135,8 @@
     return out;
 }
 
-/// Rejects queued requests that are no longer expected to be served in time
-/// because `by` was queued ahead of them, so that their callers can still use the
-/// remaining time.
+/// Rejects queued requests that are no longer expected to be served in time because `by` was queued ahead of them.
+/// Their callers (client applications) can then still use the remaining time.
 template <link_connector Connector>
 void service_pool<Connector>::reject_overtaken(const waiter& by) {
     const auto& items = m_wait_queue.items();
--- a/src/cornellever/routing/wait_queue.hpp
+++ b/src/cornellever/routing/wait_queue.hpp
@@ -11,12 +11,12 @@
 
 namespace cornellever::routing {
 
-/// A queue of requests waiting for a connection, ordered by priority number and
-/// then by deadline. `T` has the members `priority` and `until`.
+/// A queue of requests that wait for a connection, ordered by priority number and then by deadline. `T` has the members
+/// `priority` and `until` (the deadline).
 template <typename T>
 class wait_queue {
 public:
-    /// Adds an item, whose address must stay valid until it is removed.
+    /// Adds an item. The address of the item must stay valid until the item is removed.
     void enqueue(T& item) {
         auto at = m_items.begin();
         while (at != m_items.end() && !before(item, **at)) {
@@ -27,7 +27,7 @@
 
     void dequeue(T& item) { m_items.remove(&item); }
 
-    /// Removes and returns the first eligible item; null when there is none.
+    /// Removes and returns the first eligible item, or returns null if there is none.
     template <std::predicate<const T&> Predicate>
     T* take_first(Predicate eligible) {
         for (auto at = m_items.begin(); at != m_items.end(); ++at) {
@@ -43,7 +43,7 @@
     /// The items in the order in which they are served.
     [[nodiscard]] const std::list<T*>& items() const noexcept { return m_items; }
 
-    /// How many items would be served before one of this priority and deadline.
+    /// Returns how many items would be served before an item with this priority and deadline.
     [[nodiscard]] std::size_t queue_position(std::int64_t priority, boot_clock::time_point until) const {
         const auto behind = std::ranges::find_if(m_items, [&](const auto* item) {
             return item->priority != priority ? priority < item->priority : until < item->until;
