--- a/src/cornellever/sql/reply.hpp
+++ b/src/cornellever/sql/reply.hpp
@@ -10,7 +10,7 @@
 
 namespace cornellever::sql {
 
-/// Why a statement failed. See `server_did_not_run`.
+/// Why a statement failed. `server_did_not_run` returns for which of these reasons the statement certainly did not run.
 enum class refusal {
     overloaded,
     aborted,
@@ -24,24 +24,24 @@
     malformed,
     no_such_database,
     no_such_prepared_statement,
-    /// The caller's key belongs to no account.
+    /// The key of the caller (the client application) belongs to no account.
     unknown_key,
 };
 
 /// The transaction state of a session or connection.
 enum class transaction_state { idle, open, failed };
 
-/// The error of a statement with a human-readable text.
+/// The error of a statement, with a human-readable text.
 struct statement_error {
     refusal why{refusal::failed};
     std::string text{};
 };
 
-/// The complete answer to one statement.
+/// The complete reply to one statement.
 struct reply {
     std::vector<std::string> rows{};
-    /// The server's signature, which proves that it ran the statement; empty when
-    /// the proxy answered itself.
+    /// The server's signature, which proves that the server ran the statement. Empty if the proxy sent the reply
+    /// itself.
     std::string signature{};
     std::optional<statement_error> error{};
     transaction_state state{transaction_state::idle};
@@ -50,18 +50,17 @@
 
     [[nodiscard]] bool ok() const noexcept { return !error; }
 
-    /// Why the statement failed; `refusal::failed` if it succeeded.
+    /// Returns why the statement failed, or `refusal::failed` if the statement succeeded.
     [[nodiscard]] refusal why() const noexcept { return error ? error->why : refusal::failed; }
 
-    /// The text of the error; empty if the statement succeeded.
+    /// Returns the text of the error, or an empty text if the statement succeeded.
     [[nodiscard]] std::string error_text() const { return error ? error->text : std::string{}; }
 };
 
-/// The lower-case name of a refusal as used in logs and metrics.
+/// Returns the lower-case name of a refusal as used in logs and metrics.
 [[nodiscard]] std::string_view to_string(refusal why) noexcept;
 
-/// Whether this refusal, sent by a server, guarantees that it didn't run the
-/// statement.
+/// Whether this refusal, when a server sends it, guarantees that the server did not run the statement.
 [[nodiscard]] bool server_did_not_run(refusal why) noexcept;
 
 } // namespace cornellever::sql
--- a/src/cornellever/sql/server_status.hpp
+++ b/src/cornellever/sql/server_status.hpp
@@ -4,12 +4,12 @@
 
 namespace cornellever::sql {
 
-/// A backend server's answer to `statement_kind::status`.
+/// A backend server's reply to `statement_kind::status`.
 struct server_status {
     bool is_primary{false};
-    /// The newest term that it knows of.
+    /// The newest term that the server knows of.
     std::uint64_t term{0};
-    /// The last position that it has received, applied or not.
+    /// The last log position that the server has received, whether already applied or not.
     log_position received;
 };
 
--- a/src/cornellever/sql/statement.hpp
+++ b/src/cornellever/sql/statement.hpp
@@ -10,8 +10,8 @@
 /// Whether a statement only reads or also writes.
 enum class access { read, write };
 
-/// The statements of the protocol. `reset`, `status` and `step_down` are only sent
-/// by the proxy and never accepted from a caller.
+/// The statements of the protocol. `reset`, `status` and `step_down` are only sent by the proxy and never accepted from
+/// a caller (a client application).
 enum class statement_kind {
     begin,
     begin_read_only,
@@ -36,12 +36,12 @@
     std::string name{};
     /// The access mode of a prepared statement (`prepare`).
     access access_mode{access::read};
-    /// The value (`set`), the statement's shape (`prepare`), or the operands exactly
-    /// as the caller wrote them (`read`, `write`, `execute`).
+    /// The value (`set`), the shape of the statement (`prepare`), or the operands exactly as the caller wrote them
+    /// (`read`, `write`, `execute`).
     std::string text{};
 };
 
-/// A caller's statement with the id that the caller assigned.
+/// A caller's statement, with the id that the caller assigned to it.
 struct request {
     std::string id;
     statement what;
@@ -49,14 +49,15 @@
 
 /// A statement to be sent to a backend server.
 struct command {
-    /// The id of the caller's request; empty for the proxy's own statements.
+    /// The id of the caller's request; empty for a statement that the proxy itself issues.
     std::string request_id{};
     statement what{};
-    /// The server refuses with `refusal::behind` unless its log holds this position.
+    /// The log position that the server must hold. A server whose log does not hold it refuses the statement with
+    /// `refusal::behind`.
     std::optional<log_position> after{};
 };
 
-/// A statement without operands that the proxy issues itself.
+/// Returns a statement without operands that the proxy itself issues.
 [[nodiscard]] inline command proxy_command(statement_kind kind) {
     return command{.what = statement{.kind = kind}};
 }
