--- a/src/cornellever/accounts/authorizer.hpp
+++ b/src/cornellever/accounts/authorizer.hpp
@@ -11,9 +11,10 @@
 /// Whether a request is authorized.
 enum class permission {
     granted,
-    /// The key belongs to no account: it never did, or was revoked.
+    /// The key belongs to no account, because it never did or because it was revoked.
     unknown_key,
-    /// The key belongs to an account, but the configuration that says so is not confirmed current any more.
+    /// The key belongs to an account according to this proxy's configuration, but the configuration may be outdated
+    /// because its lease has expired (see `configuration_lease`).
     lease_ended,
 };
 
@@ -29,13 +30,13 @@
     return "unknown";
 }
 
-/// Identifies the account of a request by its key and decides whether the request may run. Checked when a session
-/// opens, and again immediately before each statement is sent to a server.
+/// Finds the account of a request by the request's key and decides whether the request may run. This is checked when a
+/// session opens, and again immediately before each statement is sent to a server.
 class authorizer {
 public:
     using time_point = boot_clock::time_point;
 
-    /// `who` is null when the request belongs to no account.
+    /// The result of a check. `who` is null if the request belongs to no account.
     struct decision {
         permission verdict{permission::granted};
         const account* who{nullptr};
@@ -52,7 +53,7 @@
     void set_accounts(directory accounts) { m_accounts = std::move(accounts); }
     void confirm_current(time_point at) { m_lease.confirm_current(at); }
 
-    /// Checks a request; `keyless` says that its database accepts requests without a key.
+    /// Checks a request. `keyless` is true if the database of the request accepts requests without a key.
     [[nodiscard]] decision ask(bool keyless, const key_digest& key, time_point now) const {
         if (keyless) {
             return {};
--- a/src/cornellever/accounts/key_digest.hpp
+++ b/src/cornellever/accounts/key_digest.hpp
@@ -9,25 +9,25 @@
 
 namespace cornellever::accounts {
 
-/// Identifies a client's key by its 128-bit BLAKE2b digest. The key itself is discarded where it is decoded, so that
-/// no log, dump or message can contain it.
+/// Identifies a client's key by its 128-bit BLAKE2b digest. The key itself is discarded as soon as it has been decoded
+/// from a message, so that no log, dump or other message can contain it.
 class key_digest {
 public:
     static constexpr std::size_t bytes = 16;
 
-    /// The digest of no key: all bytes are zero.
+    /// Constructs the digest that stands for a missing key. All of its bytes are zero.
     key_digest() = default;
 
-    /// The digest of a key as a client sends it.
+    /// Returns the digest of a key as the client sent it.
     [[nodiscard]] static key_digest of(std::string_view key);
 
-    /// Reads the output of `text`; nothing for any other input.
+    /// Parses a digest in the format of `text`. Returns nothing for any other input.
     [[nodiscard]] static std::optional<key_digest> parse(std::string_view text);
 
-    /// The whole digest in hexadecimal, for messages between proxies.
+    /// Returns the whole digest in hexadecimal, for messages between proxies.
     [[nodiscard]] std::string text() const;
 
-    /// The first digits, enough to tell keys apart in logs.
+    /// Returns the first digits of the digest, which are enough to tell keys apart in logs.
     [[nodiscard]] std::string fingerprint() const { return text().substr(0, fingerprint_digits); }
 
     friend auto operator<=>(const key_digest&, const key_digest&) = default;
