--- a/src/cornellever/limits/grant_message.cpp
+++ b/src/cornellever/limits/grant_message.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// First words of a request and of a response; an incompatible version needs new ones.
+/// The first word of a request and of a response. A new message format that is incompatible with this one needs new
+/// words.
 constexpr std::string_view request_tag = "lq1";
 constexpr std::string_view response_tag = "la1";
 
--- a/src/cornellever/limits/grant_message.hpp
+++ b/src/cornellever/limits/grant_message.hpp
@@ -8,7 +8,7 @@
 
 namespace cornellever::limits {
 
-/// Asks a coordinator to grant one operation of an account.
+/// Asks a coordinator (a proxy that grants a share of an account's rate limit) to grant one operation of an account.
 struct grant_request {
     std::uint64_t nonce{0};
     std::string account;
@@ -16,9 +16,9 @@
 
 enum class grant_outcome {
     granted,
-    /// The coordinator's share is used up.
+    /// The share of the limit that the coordinator may grant is used up.
     used_up,
-    /// The proxy does not coordinate this account's limit, or its configuration is not confirmed current.
+    /// The proxy that was asked does not coordinate this account's limit, or its configuration lease has expired.
     not_coordinator,
 };
 
@@ -26,14 +26,14 @@
 struct grant_response {
     std::uint64_t nonce{0};
     grant_outcome outcome{grant_outcome::not_coordinator};
-    /// With `used_up`: time until the share has a token again.
+    /// The time until the coordinator's share has a token again; only set if `outcome` is `used_up`.
     std::chrono::milliseconds wait{0};
 };
 
 [[nodiscard]] std::string encode(const grant_request& message);
 [[nodiscard]] std::string encode(const grant_response& message);
 
-/// Decodes a message; nothing when `bytes` is not a valid one of that type.
+/// Decodes a message. Returns nothing if `bytes` is not a valid message of that type.
 [[nodiscard]] std::optional<grant_request> decode_grant_request(std::string_view bytes);
 [[nodiscard]] std::optional<grant_response> decode_grant_response(std::string_view bytes);
 
--- a/src/cornellever/limits/limit_coordinator.cpp
+++ b/src/cornellever/limits/limit_coordinator.cpp
@@ -49,8 +49,8 @@
     return share_of(*who.limit, m_bound, coordinator_count(*who.limit, m_bound, m_proxies.size()));
 }
 
-/// Since when this proxy is the only holder of its share. A proxy that held the share before may not know for up to
-/// `takeover_delay` that it has been replaced.
+/// Returns the time from which this proxy is the only holder of its share. A proxy that held the share before may not
+/// know for up to `takeover_delay` that another proxy has replaced it.
 limit_coordinator::time_point limit_coordinator::share_held_since(const accounts::account& who) const {
     auto out = m_complete_since;
     if (m_discarded_until != time_point{}) {
@@ -64,7 +64,8 @@
     return out;
 }
 
-/// Creates the bucket of a share at the first request, filled as if it had existed since the share was held.
+/// Creates the token bucket of a share at the first request. The bucket's level is computed as if the bucket had
+/// existed since this proxy began to hold the share.
 token_bucket limit_coordinator::make_bucket(const accounts::account& who) const {
     const auto share = current_share(who);
     const auto since = share_held_since(who);
@@ -93,8 +94,8 @@
 grant_response limit_coordinator::ask(std::string_view account, const accounts::authorizer& authorizer,
                                       time_point now) {
     const auto* who = authorizer.accounts().find(account);
-    // Without a valid configuration lease this proxy may have been replaced by the others, or may know an outdated
-    // limit.
+    // Without a valid configuration lease, the other proxies may have replaced this proxy as a coordinator, or this
+    // proxy may know an outdated limit.
     if (who == nullptr || !who->limit || !m_complete || !authorizer.lease().is_valid(now)) {
         return {.outcome = grant_outcome::not_coordinator};
     }
--- a/src/cornellever/limits/limiter.hpp
+++ b/src/cornellever/limits/limiter.hpp
@@ -16,7 +16,7 @@
 
 namespace cornellever::limits {
 
-/// A proxy and the address at which it takes requests for grants.
+/// A proxy and the address at which it receives grant requests.
 struct coordinator_endpoint {
     std::string name;
     std::string data_center;
@@ -25,19 +25,19 @@
     friend bool operator==(const coordinator_endpoint&, const coordinator_endpoint&) = default;
 };
 
-/// Requests a grant from another proxy; nothing when no response arrives by `until`.
+/// Sends grant requests to other proxies. `ask` returns nothing if no response arrives by `until`.
 template <typename T>
 concept grant_channel = requires(T channel, const asio::ip::udp::endpoint& to, const std::string& account,
                                  boot_clock::time_point until) {
     { channel.ask(to, account, until) } -> std::same_as<asio::awaitable<std::optional<grant_response>>>;
 };
 
-/// Result of admission control: whether an operation may run under its account's limit.
+/// The result of admission control, which decides whether an operation may run under its account's limit.
 struct admission_result {
     enum class kind {
         granted,
         used_up,
-        /// No coordinator that was asked granted or refused the operation.
+        /// None of the coordinators that were asked granted or refused the operation.
         unknown,
     };
 
@@ -48,8 +48,9 @@
     std::size_t asked{0};
 };
 
-/// Admission control: requests a grant for each operation of this proxy's callers from the coordinators of its
-/// account. Used from the traffic thread only.
+/// Applies admission control to the operations of the callers (client applications) that are connected to this proxy.
+/// For each operation it requests a grant from the coordinators of the operation's account, which are the proxies that
+/// divide the account's limit among them. Used from the traffic thread only.
 template <grant_channel Channel>
 class limiter {
 public:
@@ -61,7 +62,7 @@
         , m_self{std::move(self)}
         , m_data_center{std::move(data_center)} {}
 
-    /// Sets the known proxies, including this one; `complete` says that these are all.
+    /// Sets the known proxies, including this one. `complete` is true if the list contains all proxies.
     void set_proxies(std::vector<coordinator_endpoint> proxies, bool complete = true);
 
     /// Requests a grant for one operation of an account.
@@ -74,16 +75,18 @@
     asio::awaitable<std::optional<grant_response>> ask(const coordinator_endpoint& target, const std::string& account,
                                                        const accounts::authorizer& authorizer);
 
-    /// Number of coordinators that may fail to respond before an operation is given up. Those that respond are asked
-    /// one after another, since one share may be used up while others are not.
+    /// The number of coordinators that may fail to respond before the search for a grant ends without one. Coordinators
+    /// are asked one after another until one grants the operation, since one share may be used up while others are not.
     static constexpr std::size_t max_unanswered = 3;
-    /// Covers a round trip, which takes longer on a busy VM. The caller waits meanwhile, with a latency target that may
-    /// be 100 ms.
+    /// Covers a round trip, which takes longer on a busy VM. The caller waits during this time, and its target latency
+    /// may be only 100 ms.
     static constexpr std::chrono::milliseconds response_timeout{40};
-    /// How long a coordinator that did not respond is asked last. When a partition separates two thirds of many
-    /// proxies, each operation meets different ones; 1 s would be too short to find them all.
+    /// How long a coordinator that did not respond is asked only after the others. When a partition separates a proxy
+    /// from two thirds of many proxies, each operation asks different coordinators, and 1 s would be too short to find
+    /// out about all that do not respond.
     static constexpr std::chrono::milliseconds suspect_duration{3000};
-    /// How long a used-up limit is remembered, so that not every request of a flood asks the coordinators again.
+    /// How long the proxy remembers that a limit is used up. During this time, requests of the account are refused
+    /// without asking the coordinators again.
     static constexpr std::chrono::milliseconds used_up_duration{50};
 
     Channel& m_channel;
@@ -91,9 +94,9 @@
     std::string m_self;
     std::string m_data_center;
     std::map<std::string, coordinator_endpoint, std::less<>> m_endpoints;
-    /// Coordinators that did not respond, and when.
+    /// The coordinators that did not respond, with the time of the last failure.
     std::map<std::string, time_point, std::less<>> m_suspects;
-    /// Accounts whose limit is used up: until when that is remembered, and the wait to report.
+    /// The accounts whose limit is used up, with the time until which this is remembered and the wait to report.
     std::map<std::string, std::pair<time_point, std::chrono::milliseconds>, std::less<>> m_used_up;
     std::size_t m_rotation{0};
 };
@@ -111,8 +114,8 @@
     m_coordinator.set_proxies(std::move(names), boot_clock::now(), complete);
 }
 
-/// An account's coordinators in the order in which to ask them: those of this data centre first, in rotation because
-/// all shares are equal; those that did not respond recently last.
+/// Returns an account's coordinators in the order in which to ask them. Coordinators in this data centre come first,
+/// and those that did not respond recently come last. The order is rotated at each call, because all shares are equal.
 template <grant_channel Channel>
 std::vector<const coordinator_endpoint*>
 limiter<Channel>::coordinators_in_order(std::string_view account, const accounts::rate_limit& limit, time_point now) {
@@ -144,7 +147,8 @@
     }
     const auto name = target.name;
     if (const auto found = m_suspects.find(name); found != m_suspects.end()) {
-        // This request probes it; other requests continue to ask it last.
+        // This request tests whether the coordinator responds again. Until it does, other requests continue to ask it
+        // last.
         found->second = boot_clock::now();
     }
     auto response = co_await m_channel.ask(target.address, account, boot_clock::now() + response_timeout);
@@ -166,7 +170,7 @@
         }
         m_used_up.erase(found);
     }
-    // Copied, because the proxies may change while a response is awaited.
+    // The endpoints are copied, because the list of proxies may change while a response is awaited.
     std::vector<coordinator_endpoint> order;
     for (const auto* item : coordinators_in_order(account, limit, now)) {
         order.push_back(*item);
--- a/src/cornellever/limits/token_bucket.hpp
+++ b/src/cornellever/limits/token_bucket.hpp
@@ -8,18 +8,19 @@
 
 namespace cornellever::limits {
 
-/// Token bucket that grants operations one by one within a share of a limit.
+/// A token bucket that grants operations one by one within one coordinator's share of a limit.
 class token_bucket {
 public:
     using time_point = boot_clock::time_point;
 
-    /// Starts with `level` tokens and grants nothing before `from`.
+    /// Creates a bucket that starts with `level` tokens and grants nothing before `from`.
     token_bucket(const limit_share& share, double level, time_point from)
         : m_share{share}
         , m_level{std::min(level, share.capacity)}
         , m_refilled_at{from} {}
 
-    /// Replaces the share from `now` on. Tokens saved up under the previous share are cut to the new bucket size.
+    /// Replaces the share from `now` on. If the bucket holds more tokens than the new bucket size, the surplus is
+    /// discarded.
     void set_share(const limit_share& share, time_point now) {
         if (share != m_share) {
             refill(now);
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Takes one token; false when none is available.
+    /// Takes one token. Returns false if no token is available.
     bool take(time_point now) {
         refill(now);
         if (now < m_refilled_at || m_level < 1.0) {
@@ -38,7 +39,7 @@
         return true;
     }
 
-    /// Time until a token is available, at most 5 s.
+    /// Returns the time until a token is available, at most 5 s.
     [[nodiscard]] std::chrono::milliseconds wait(time_point now) const {
         constexpr std::chrono::milliseconds max_wait{5000};
         if (m_share.per_second <= 0.0 || m_share.capacity < 1.0) {
--- a/src/cornellever/limits/udp_grant_channel.cpp
+++ b/src/cornellever/limits/udp_grant_channel.cpp
@@ -14,7 +14,8 @@
     if (ec) {
         return fail(errc::unavailable, "cannot bind the address for limits: " + ec.message());
     }
-    // Nonces differ from those of the previous process, whose late responses must not match requests of this one.
+    // Nonces start at a random value so that they differ from those of the previous process. Otherwise a late response
+    // to the previous process could be taken for the response to a request of this one.
     m_last_nonce = std::uint64_t{std::random_device{}()} << 32U;
     asio::co_spawn(m_executor, receive(), asio::detached);
     return {};
--- a/src/cornellever/limits/udp_grant_channel.hpp
+++ b/src/cornellever/limits/udp_grant_channel.hpp
@@ -13,10 +13,10 @@
 
 namespace cornellever::limits {
 
-/// Exchanges grant messages with other proxies, one datagram each. A model of `grant_channel`.
+/// Exchanges grant messages with other proxies, each in one UDP datagram. Satisfies the concept `grant_channel`.
 class udp_grant_channel {
 public:
-    /// Produces the response to another proxy's request for an account.
+    /// Returns the response to another proxy's grant request for an account.
     using request_handler = std::function<grant_response(const std::string& account)>;
 
     udp_grant_channel(asio::any_io_executor executor, request_handler handler)
@@ -24,10 +24,11 @@
         , m_socket{executor}
         , m_handler{std::move(handler)} {}
 
-    /// Binds the socket and starts to respond to requests; `unavailable` when the address cannot be bound.
+    /// Binds the socket and starts to respond to requests. Returns the error `unavailable` if the address cannot be
+    /// bound.
     [[nodiscard]] result<void> start(const asio::ip::udp::endpoint& address);
 
-    /// Requests a grant; nothing when no response arrives by `until`.
+    /// Requests a grant. Returns nothing if no response arrives by `until`.
     asio::awaitable<std::optional<grant_response>> ask(asio::ip::udp::endpoint to, std::string account,
                                                        boot_clock::time_point until);
 
