--- a/src/cornellever/accounts/configuration_lease.hpp
+++ b/src/cornellever/accounts/configuration_lease.hpp
@@ -12,7 +12,7 @@
 /// within a time bound at every proxy. This includes a proxy that never learned of the revocation because it was
 /// partitioned or suspended, or because the configuration store refused its requests. A proxy's copy therefore expires
 /// a limited time after the last moment at which the store confirmed that no newer version existed. The confirmation
-/// may also come from a peer that had read the configuration from the store.
+/// may also come from a peer (another proxy) that had read the configuration from the store.
 class configuration_lease {
 public:
     using time_point = boot_clock::time_point;
--- a/src/cornellever/limits/limit_coordinator.hpp
+++ b/src/cornellever/limits/limit_coordinator.hpp
@@ -43,8 +43,8 @@
                                                         const accounts::rate_limit& limit) const;
 
     /// How long a proxy that takes over a share grants no operation from the share. The previous holder is presumed
-    /// dead after it has been silent for 8 s. If the previous holder is only partitioned, its configuration lease has
-    /// expired by then or expires within this delay, and it then stops granting operations.
+    /// dead after 8 s of silence. If the previous holder is only partitioned, its configuration lease has expired by
+    /// then or expires within this delay, so the previous holder grants no further operations.
     static constexpr std::chrono::milliseconds takeover_delay{5000};
 
 private:
--- a/src/cornellever/limits/limiter.hpp
+++ b/src/cornellever/limits/limiter.hpp
@@ -49,8 +49,9 @@
 };
 
 /// Applies admission control to the operations of the callers (client applications) that are connected to this proxy.
-/// For each operation it requests a grant from the coordinators of the operation's account, which are the proxies that
-/// divide the account's limit among them. Used from the traffic thread only.
+/// For each operation, the limiter requests a grant from the coordinators of the operation's account, which are the
+/// proxies that divide the account's limit among them. Used only from the traffic thread, which processes the callers'
+/// requests.
 template <grant_channel Channel>
 class limiter {
 public:
@@ -147,8 +148,8 @@
     }
     const auto name = target.name;
     if (const auto found = m_suspects.find(name); found != m_suspects.end()) {
-        // This request tests whether the coordinator responds again. Until it does, other requests continue to ask it
-        // last.
+        // This request tests whether the coordinator responds again. Until the coordinator does, other requests
+        // continue to ask it last.
         found->second = boot_clock::now();
     }
     auto response = co_await m_channel.ask(target.address, account, boot_clock::now() + response_timeout);
--- a/src/cornellever/routing/connection_lease.hpp
+++ b/src/cornellever/routing/connection_lease.hpp
@@ -6,8 +6,8 @@
 
 namespace cornellever::routing {
 
-/// RAII handle of a connection that is checked out of a pool. A handle may be empty. Its destructor closes the
-/// connection unless the connection was released.
+/// RAII handle of a connection that is checked out of a pool, or an empty handle. The destructor closes the connection
+/// unless the connection was released.
 template <typename Pool>
 class connection_lease {
 public:
--- a/src/cornellever/routing/connection_request.hpp
+++ b/src/cornellever/routing/connection_request.hpp
@@ -33,7 +33,8 @@
 /// What this proxy knows about a service's primary from its own connections.
 struct primary_observation {
     std::string id;
-    /// When the primary's last leadership confirmation was requested.
+    /// When the primary's last leadership confirmation (a reply that shows that the server is the primary) was
+    /// requested.
     boot_clock::time_point leadership_confirmed_at{};
     /// When the primary's last reply of any kind arrived.
     boot_clock::time_point last_contact_at{};
@@ -41,7 +42,8 @@
     bool unreachable{false};
     /// Whether the primary's address refused a connection after `last_contact_at`.
     bool refused{false};
-    /// Whether the server replies as the primary although its log lacks commits that it or another server held.
+    /// Whether the server replies as the primary although its log lacks commits, either its earlier ones or those of
+    /// another server.
     bool log_lost{false};
     /// The highest log position that the server is known to have reported as the primary.
     std::optional<sql::log_position> highest_position{};
--- a/src/cornellever/routing/log_high_water_mark.hpp
+++ b/src/cornellever/routing/log_high_water_mark.hpp
@@ -9,11 +9,11 @@
 
 namespace cornellever::routing {
 
-/// Stores the highest log position of the last primary that was confirmed by this proxy or reported by a peer. The
-/// position shows when a primary has restarted with an empty log: such a server may still confirm its leadership, and
-/// callers (client applications) would see a database without their commits. Otherwise a primary's log never gets
-/// shorter. Positions of different servers are not compared, because a promoted server may lack commits of the previous
-/// primary. Those commits are rolled back and no longer guaranteed to any caller.
+/// Stores the highest log position of the last primary that was confirmed by this proxy or reported by a peer (another
+/// proxy). The position shows when a primary has restarted with an empty log. Such a server may still confirm its
+/// leadership, and callers (client applications) would see a database without their commits. Apart from that case, a
+/// primary's log never gets shorter. Positions of different servers are not compared, because a promoted server may
+/// lack commits of the previous primary. Those commits are rolled back and no longer guaranteed to any caller.
 class log_high_water_mark {
 public:
     using time_point = boot_clock::time_point;
--- a/src/cornellever/routing/placement.cpp
+++ b/src/cornellever/routing/placement.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Penalty for a server in another data centre. A round trip to one takes 2.8 ms longer than within a data centre. The
-/// rest stands for the cost of traffic between data centres, which is billed.
+/// Penalty for a server in another data centre. A round trip to another data centre takes 2.8 ms longer than one within
+/// the proxy's data centre. The rest stands for the cost of traffic between data centres, which is billed.
 constexpr double other_data_center_penalty_ms = 5.0;
 
 /// Penalty for the primary, because it is the only server that can run writes. Reads avoid the primary until the
--- a/src/cornellever/routing/pool_entry.hpp
+++ b/src/cornellever/routing/pool_entry.hpp
@@ -26,7 +26,7 @@
 template <backend_link Link>
 struct pooled_slot {
     std::unique_ptr<Link> connection;
-    /// The server that it is connected to.
+    /// The server that the connection leads to.
     pool_entry<Link>* server_entry{nullptr};
     /// The account that the connection was opened for. The server attributes all statements on the connection to that
     /// account. Empty if the connection was opened for the proxy itself or for requests without an account.
@@ -44,9 +44,9 @@
     bool awaiting_reply{false};
     /// Whether the reply is so late that it is presumed lost (see `overdue_after`).
     bool overdue{false};
-    /// Whether the connection is primed: the proxy opened a read-write transaction on it ahead of use, which only the
-    /// primary accepts. A read in this transaction needs no other check of freshness, because the server refuses the
-    /// read once it is no longer the primary.
+    /// Whether the connection is primed, which means that the proxy opened a read-write transaction on it ahead of use.
+    /// Only the primary accepts such a transaction. A read in this transaction needs no other check of freshness,
+    /// because the server refuses the read once it is no longer the primary.
     bool primed{false};
     /// When the statement that opened the primed transaction was sent.
     boot_clock::time_point primed_at{};
@@ -79,8 +79,9 @@
 };
 
 /// Returns the delay after which a reply is presumed lost, given the average statement time. A lost reply blocks its
-/// connection until the statement times out (800 ms for a write, which must not be retried). If the service has only
-/// this connection, all other requests wait that long too. One in a hundred statements takes five times the average.
+/// connection until the statement times out (800 ms for a write, which must not be retried). If this is the only
+/// connection, all other requests wait that long too. One in a hundred statements takes five times the average, so a
+/// reply that is presumed lost may still arrive.
 [[nodiscard]] inline std::chrono::milliseconds overdue_after(double statement_time_ms) {
     constexpr std::chrono::milliseconds shortest{100};
     constexpr double multiple = 4.0;
@@ -97,7 +98,7 @@
     /// Number of connections being opened, and the accounts of those that are opened for an account.
     std::size_t opening{0};
     std::vector<std::string> opening_for;
-    /// Backoff: no connection is opened before this time.
+    /// The time before which no connection is opened, as a backoff after failed attempts.
     time_point open_after{};
     int failed_opens{0};
     /// When the server last refused a connection with `too_many_connections`.
@@ -118,13 +119,14 @@
     /// Whether the server was deregistered or restarted. The entry is kept until the connections have been returned to
     /// the pool.
     bool retired{false};
-    /// Leadership confirmations requested up to this time do not count. Set when the server restarted or lost its log.
+    /// Leadership confirmations (replies that show that the server is the primary) do not count if they were requested
+    /// at or before this time. Set when the server restarted or lost its log.
     time_point leadership_valid_after{};
     /// When the server was first seen draining (finishing its work before it stops).
     std::optional<time_point> draining_since;
 
-    /// Whether the server is not used as the primary yet because its log is empty and another server may still reply
-    /// with the commits.
+    /// Whether the server is not used as the primary yet because its log is empty and another server, which may hold
+    /// the commits, may still reply.
     [[nodiscard]] bool awaits_other_logs(time_point now) const {
         return empty_log_since && now - *empty_log_since < other_logs_wait;
     }
--- a/src/cornellever/routing/read_floor.cpp
+++ b/src/cornellever/routing/read_floor.cpp
@@ -88,8 +88,8 @@
 // new primary combines the new term with the number of the last entry of an older term, and no log holds that position
 // until the next commit. If that position were the read floor, replicas that are up to date would refuse all reads for
 // 2.5 s after a promotion, and the primary would have to serve these reads. A position of the older term remains valid,
-// because a log that holds this position holds everything acknowledged before. Since such a position may have been
-// rolled back, it is replaced by one of the new term as soon as replicas have applied the new one.
+// because a log that holds this position holds everything acknowledged before. Since a position of the older term may
+// have been rolled back, a position of the new term replaces it as soon as replicas have applied the new one.
 sql::log_position read_floor::lowest_sufficient(std::size_t oldest, time_point now) const {
     const auto& first = m_samples[oldest];
     if (entry_known(first)) {
--- a/src/cornellever/routing/read_floor.hpp
+++ b/src/cornellever/routing/read_floor.hpp
@@ -10,8 +10,9 @@
 
 namespace cornellever::routing {
 
-/// A log position that the primary reported together with a leadership confirmation requested at `asked_at`. A log that
-/// holds this position holds every commit acknowledged before `asked_at`.
+/// A log position that the primary reported together with a leadership confirmation (a reply that shows that the server
+/// is still the primary) requested at `asked_at`. A log that holds this position holds every commit acknowledged before
+/// `asked_at`.
 struct freshness_sample {
     boot_clock::time_point asked_at;
     sql::log_position position;
@@ -23,8 +24,8 @@
 public:
     using time_point = boot_clock::time_point;
 
-    /// Adds a sample. A sample whose position is below that of the newest sample, or whose time is not after it, is
-    /// dropped.
+    /// Adds a sample. The sample is dropped if its position is below that of the newest sample, or if its time is not
+    /// later.
     void add(const freshness_sample& sample);
 
     /// Records that a commit was acknowledged at this position. Logs therefore hold an entry with its number and term.
--- a/src/cornellever/routing/replica_progress.hpp
+++ b/src/cornellever/routing/replica_progress.hpp
@@ -10,8 +10,8 @@
 namespace cornellever::routing {
 
 /// Estimates how far a replica has applied the log, and its replication lag, from the log positions in its replies.
-/// Reads are not sent to a replica that is expected not to have reached their read floor, because each such attempt
-/// costs the caller (the client application) a round trip and occupies a connection.
+/// Reads are not sent to a replica that is expected not to have reached their read floor (see `read_floor`), because
+/// each such attempt costs the caller (the client application) a round trip and occupies a connection.
 class replica_progress {
 public:
     using time_point = boot_clock::time_point;
--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -31,8 +31,10 @@
 namespace cornellever::routing {
 
 /// The connection pool of this proxy for the servers of one service. The pool opens connections within a budget and
-/// lends them to requests. It keeps idle connections to the primary primed (see `pooled_slot`), tracks which server is
-/// the primary and collects freshness samples. Used from the traffic thread only.
+/// lends them to requests. It keeps idle connections to the primary primed (see `pooled_slot`) and collects freshness
+/// samples (see `freshness_sample`). From leadership confirmations, which are replies that show that a server can open
+/// a read-write transaction as the primary, the pool tracks which server is the primary. Used only from the traffic
+/// thread, which processes the requests of the callers (client applications).
 template <link_connector Connector>
 class service_pool {
 public:
@@ -73,8 +75,8 @@
     /// Replaces the registered servers of the service.
     void update(std::span<const backend_server* const> servers);
 
-    /// Checks out a connection for `request` and waits for one until `request.until`. The returned lease is empty if no
-    /// connection became free in time, or if none is expected to.
+    /// Checks out a connection for `request` and waits for one until `request.until` if necessary. The returned lease
+    /// is empty if no connection became free in time or none is expected to become free in time.
     asio::awaitable<lease> acquire(connection_request request);
 
     /// Runs the periodic maintenance. The calling code sets the period.
@@ -108,7 +110,7 @@
     /// Records that a server acknowledged a commit sent at `sent_at`.
     void note_commit(entry& from, time_point sent_at, const std::optional<sql::log_position>& position);
 
-    /// Records that a peer received a leadership confirmation from `id` that was requested at
+    /// Records that a peer (another proxy) received a leadership confirmation from `id` that was requested at
     /// `leadership_confirmed_at`. What this proxy has observed itself about the server's log and refusals takes
     /// precedence.
     void accept_peer_confirmation(const std::string& id, time_point leadership_confirmed_at);
@@ -118,7 +120,9 @@
         m_high_water_mark.note_reported_position(id, position, boot_clock::now());
     }
 
-    /// Adds a freshness sample received from a peer. The time of the sample may be too early, never too late.
+    /// Adds a freshness sample received from a peer. The time of the sample may be earlier than that of the leadership
+    /// confirmation's request, because an earlier time only makes the sample guarantee less. The time must never be
+    /// later.
     void add_sample(const freshness_sample& sample) { m_read_floor.add(sample); }
 
     [[nodiscard]] const read_floor& floor() const noexcept { return m_read_floor; }
@@ -187,7 +191,7 @@
 
     /// Whether a server is the primary. The check uses a new connection because an existing one may be dead. A server
     /// that refuses the connection with `too_many_connections` is alive and counts as the primary. A server that does
-    /// not reply within `limit` does not.
+    /// not reply within `limit` does not count as the primary.
     asio::awaitable<bool> is_primary_now(std::string id, std::chrono::milliseconds limit);
 
     /// Sends a control command to one server, for example for its status.
@@ -269,8 +273,8 @@
     void poll_progress(entry& at, time_point now);
     asio::awaitable<void> query_position(slot& held);
 
-    /// Timeout of control statements, which take no execution slot. It covers several round trips (3 ms) and the delays
-    /// of a slow VM.
+    /// Timeout of control statements, which take no execution slot. The timeout covers several round trips (3 ms) and
+    /// the delays of a slow VM.
     static constexpr std::chrono::milliseconds control_limit{600};
     static constexpr std::chrono::milliseconds open_limit{900};
     static constexpr std::chrono::milliseconds initial_backoff{60};
@@ -282,9 +286,9 @@
     /// Maximum number of account connections that are being opened to one server concurrently. Each opening takes one
     /// of the server's execution slots for as long as a short statement.
     static constexpr std::size_t max_openings = 2;
-    /// A replica with a larger replication lag is polled for its log position. Reads can then be sent to the replica
-    /// again as soon as it has caught up, without trying it and being refused. Replicas apply a commit within 50 ms on
-    /// average.
+    /// A replica with a larger replication lag is polled for its log position, so that the proxy notices when the
+    /// replica has caught up and sends reads to it again without a refused attempt. Replicas apply a commit within 50
+    /// ms on average.
     static constexpr std::chrono::milliseconds normal_lag{150};
     static constexpr std::chrono::milliseconds progress_poll_period{100};
     /// A proxy that is not a connection owner closes its connections after this time without a request. The time is
@@ -297,7 +301,7 @@
     static constexpr std::chrono::milliseconds surplus_after{300};
     /// For this long after a server refused a connection at its limit, this proxy does not exceed its budget on that
     /// server. The server counts the connections of processes that lost power for another 3 s. If this proxy opened
-    /// more connections in that time, proxies without any could not reconnect.
+    /// more connections in that time, proxies without any connection could not reconnect.
     static constexpr std::chrono::milliseconds limit_reached_for{3500};
     /// How long a draining primary gets new requests. A server is registered as draining 7 s before it stops; draining
     /// replicas get no new requests.
--- a/src/cornellever/routing/service_pool_accounts.ipp
+++ b/src/cornellever/routing/service_pool_accounts.ipp
@@ -49,9 +49,9 @@
 }
 
 /// Opens a connection for an account. If this proxy already holds as many connections to the server as it may, the
-/// least recently used idle connection is evicted. That connection cannot be reused, because the account of a
-/// connection is fixed when it is opened. Connections that queued requests can use are not evicted unless `urgent` is
-/// true.
+/// least recently used idle connection is evicted. The evicted connection cannot be reused, because the account of a
+/// connection is fixed when the connection is opened. Connections that queued requests can use are not evicted unless
+/// `urgent` is true.
 template <link_connector Connector>
 void service_pool<Connector>::open_for_account(entry& at, const std::string& account, bool urgent) {
     if (!has_room(at)) {
@@ -81,8 +81,8 @@
            statements * at.statement_time.value(now);
 }
 
-/// Grants a waiting request an idle connection of the request's account and returns whether there was one. If not, a
-/// connection is opened for the account, unless one is already being opened.
+/// Grants a waiting request an idle connection of the request's account and returns whether the server had such a
+/// connection. If not, a connection is opened for the account, unless one is already being opened.
 template <link_connector Connector>
 bool service_pool<Connector>::try_serve(entry& at, waiter& next) {
     if (auto* idle = best_idle(at, next.request); idle != nullptr) {
--- a/src/cornellever/routing/service_pool_leadership.ipp
+++ b/src/cornellever/routing/service_pool_leadership.ipp
@@ -32,8 +32,8 @@
 
 /// Whether a primary has lost commits, judged by the position `reported` in its reply to a request sent at `asked_at`.
 /// Commits are lost if the position is lower than before, or if the log is empty while another server holds entries.
-/// The latter includes an empty server that was promoted in place of a server with entries; its leadership is
-/// disregarded too, because no commits are lost if the other server becomes the primary.
+/// The second case includes an empty server that was promoted instead of a server with entries. The empty server is
+/// rejected too, because no commits are lost if the other server becomes the primary.
 template <link_connector Connector>
 bool service_pool<Connector>::lacks_commits(const entry& at, const sql::log_position& reported,
                                             time_point asked_at) const {
@@ -68,7 +68,7 @@
 }
 
 /// Disregards the leadership of a server that lost commits, so that a server that has the commits is promoted. New
-/// connections to the former server are attempted with the longest backoff.
+/// connections to the server that lost commits are attempted with the longest backoff.
 template <link_connector Connector>
 void service_pool<Connector>::note_log_lost(entry& at, const sql::log_position& reported) {
     const auto now = boot_clock::now();
--- a/src/cornellever/routing/service_pool_queue.ipp
+++ b/src/cornellever/routing/service_pool_queue.ipp
@@ -55,9 +55,9 @@
     }
 }
 
-/// Opens replacements for connections whose reply is overdue, until that reply arrives or times out. The replacements
-/// use the part of the server's connection limit that is reserved for connections of dead processes. They at most
-/// double the number of connections.
+/// Opens replacements for connections whose reply is overdue. The replacements are kept until the overdue replies
+/// arrive or time out. They use the fraction of the server's connection limit that is reserved for connections of dead
+/// processes, and at most double the number of connections.
 template <link_connector Connector>
 void service_pool<Connector>::replace_overdue(entry& at, time_point now) {
     if (!at.mark_overdue(now)) {
