--- a/src/cornellever/routing/leadership_backoff.hpp
+++ b/src/cornellever/routing/leadership_backoff.hpp
@@ -7,10 +7,10 @@
 
 namespace cornellever::routing {
 
-/// Ignores a server's leadership confirmations (replies that show that it opens read-write transactions as the primary)
-/// for a while after the server refused a statement with `not_primary`. A faulty server may open transactions as the
-/// primary but refuse writes. Without the backoff, every proxy would accept such a server as the primary again right
-/// after each refusal and send it every waiting statement.
+/// Ignores a server's leadership confirmations (replies that show that the server is the primary) for a while after the
+/// server refused a statement with `not_primary`. A faulty server may open transactions as the primary but refuse
+/// writes. Without the backoff, every proxy would accept such a server as the primary again right after each refusal
+/// and send it every waiting statement.
 class leadership_backoff {
 public:
     using time_point = boot_clock::time_point;
--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -32,8 +32,8 @@
 
 /// The connection pool of this proxy for the servers of one service. The pool opens connections within a budget and
 /// lends them to requests. It keeps idle connections to the primary primed (see `pooled_slot`) and collects freshness
-/// samples (see `freshness_sample`). From leadership confirmations, which are replies that show that a server can open
-/// a read-write transaction as the primary, the pool tracks which server is the primary. Used only from the traffic
+/// samples (see `freshness_sample`). The pool tracks which server is the primary from leadership confirmations, which
+/// are replies that show that a server has opened a read-write transaction or committed one. Used only from the traffic
 /// thread, which processes the requests of the callers (client applications).
 template <link_connector Connector>
 class service_pool {
