--- a/src/cornellever/cluster/charts.hpp
+++ b/src/cornellever/cluster/charts.hpp
@@ -4,8 +4,8 @@
 
 namespace cornellever::cluster::charts {
 
-/// The text of charts/promotion.ini, compiled into the binary because the VMs have no disk to read
-/// it from.
+/// The text of charts/promotion.ini, the state machine of a promotion. It is compiled into the
+/// binary because the VMs have no disk to read it from.
 extern const std::string_view promotion;
 
 } // namespace cornellever::cluster::charts
--- a/src/cornellever/cluster/configuration_reader.hpp
+++ b/src/cornellever/cluster/configuration_reader.hpp
@@ -13,18 +13,18 @@
 
 namespace cornellever::cluster {
 
-/// Decodes the configuration from its row in the operators' table. The table has other rows too,
-/// and decoding a configuration of many databases is slow, so each version of the row is decoded,
-/// or rejected, only once.
+/// Decodes the configuration from one row of a table that the operators write. Each version of that
+/// row is decoded, or rejected, only once: decoding a configuration of many databases is slow, and
+/// changes to the table's other rows must not repeat it.
 template <std::invocable<std::string_view> Decode>
 class configuration_reader {
 public:
-    /// `key` is the key of the row. `decode` returns the configuration held by a row's value, or an
-    /// error that says why it is invalid.
+    /// `key` is the key of the configuration's row. `decode` returns the configuration held by a
+    /// row's value, or an error that says why the value is invalid.
     configuration_reader(std::string_view key, Decode decode) : m_key{key}, m_decode{std::move(decode)} {}
 
-    /// Passes the configuration to `apply` if the row changed since the last call. Returns whether
-    /// the current version of the row is a valid configuration; nullopt if there is no such row.
+    /// Passes the configuration to `apply` if its row changed since the last call and is valid.
+    /// Returns whether the current version of the row is valid, or nullopt if there is no such row.
     template <std::invocable<routing::configuration> Apply>
     std::optional<bool> read(const table_rows& rows, Apply apply) {
         const auto row = rows.find(m_key);
--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -37,16 +37,17 @@
 
 namespace cornellever::cluster {
 
-/// Counters of the control plane; readable from any thread.
+/// Counters of the control plane. They can be read from any thread.
 struct control_counts {
     std::atomic<std::uint64_t> promoted{0};
     std::atomic<std::uint64_t> given_up{0};
     std::atomic<std::uint64_t> proxies{0};
 };
 
-/// The control plane of a proxy, run on its own thread. Exchanges heartbeats with the other
-/// proxies, keeps the configuration and the server registry up to date, passes both and the peers'
-/// primary observations to the traffic thread, and replaces failed or leaving primaries.
+/// The control plane of a proxy, run on its own thread. It exchanges heartbeats with the other
+/// proxies (the peers), keeps the configuration and the server registry up to date, and passes
+/// both, and the peers' observations of the primaries, to the traffic thread, which serves the
+/// client applications. It also replaces primaries that have failed or are being shut down.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 class control {
 public:
@@ -69,26 +70,26 @@
     /// if an address cannot be bound.
     [[nodiscard]] result<void> start();
 
-    /// Applies the configuration read from the store. An older one than the one in force is
-    /// ignored, but until the store has caught up its answers do not confirm the newer one as
-    /// current.
+    /// Applies the configuration read from the metadata store. A configuration older than the one
+    /// in force is ignored; until the store holds the version in force again, its responses do not
+    /// count as confirmation that this version is current.
     void apply_stored(routing::configuration config);
     /// Applies the registered servers read from the store.
     void apply(const routing::registry& registered);
 
-    /// Sets the callback that reports whether the store currently answers this proxy.
+    /// Sets the callback that reports whether the metadata store currently responds to this proxy.
     void set_store_reachable(std::function<bool()> reachable) { m_store_reachable = std::move(reachable); }
 
-    /// Sets the callback that adds the state of the traffic side to the `dump` reply. It is called
-    /// on the traffic thread.
+    /// Sets the callback that adds the state of the traffic thread to the `dump` reply. The
+    /// callback runs on the traffic thread.
     void add_dump(std::function<Json::Value()> traffic) { m_dump_traffic = std::move(traffic); }
 
-    /// How this proxy currently keeps its copy of a table up to date.
+    /// Returns how this proxy currently keeps its copy of a table up to date.
     [[nodiscard]] watch_mode watch_mode_of(cached_table what) const;
 
-    /// Records that the store confirmed the copy of a table as current at `at`. A store restored
-    /// from an older copy of its data may confirm a configuration that peers know to be superseded;
-    /// such a confirmation is ignored.
+    /// Records that the store confirmed this proxy's copy of a table as current at time `at`. A
+    /// store restored from an older backup may confirm a configuration that peers know to be
+    /// superseded; such a confirmation is ignored.
     void mark_current(cached_table what, time_point at) {
         auto& freshness = m_freshness.at(index_of(what));
         if (what != cached_table::configuration || freshness.store_confirms(m_config.version)) {
@@ -102,19 +103,20 @@
     [[nodiscard]] const control_counts& counts() const noexcept { return m_counts; }
     [[nodiscard]] const peer_traffic& received_from_peers() const noexcept { return m_peer_traffic; }
 
-    /// Writes this proxy's row to the store again, after the store may have lost it.
+    /// Writes this proxy's row of the proxies table again, after the store may have lost the row.
     void register_again() { asio::co_spawn(m_executor, rewrite_own_row(), asio::detached); }
 
-    /// Starts a planned shutdown: this proxy no longer starts promotions, and proxies that start
-    /// later do not discover it.
+    /// Starts a planned shutdown: this proxy starts no more promotions, and its row is removed from
+    /// the proxies table, so that proxies started later do not discover it.
     asio::awaitable<void> prepare_to_leave();
 
-    /// Sends a farewell to all peers once this proxy's connections are closed, so that they can use
-    /// its share of the connections.
+    /// Tells all peers that this proxy has closed its connections to the backend servers, so that
+    /// the peers can open them instead: all proxies together stay within each server's connection
+    /// limit.
     void farewell();
 
 private:
-    /// The last known state of a service's primary.
+    /// What this proxy last concluded about a service's primary.
     struct service_state {
         std::string primary;
         time_point leaderless_since{};
@@ -124,7 +126,7 @@
         time_point retry_at{};
     };
 
-    /// A peer's report on a primary, and the time at which the ages in it were valid.
+    /// A peer's report on a primary, and the time to which the ages in the report refer.
     struct peer_report {
         const primary_report* report{nullptr};
         time_point ages_as_of{};
@@ -150,7 +152,8 @@
     [[nodiscard]] std::string own_row() const;
     asio::awaitable<void> load_proxies(store_rows listed);
     asio::awaitable<void> create_cluster_id();
-    /// A short id, because every message carries it; never 0.
+    /// Hashes a deployment's name to an id. The id is short because every message carries it, and
+    /// is never 0.
     [[nodiscard]] static std::uint64_t cluster_id(std::string_view name) noexcept {
         return stable_hash({name}) % 0xffffffffU + 1;
     }
@@ -173,9 +176,11 @@
     void check_primaries();
     void check_primary(const std::string& service, std::span<const routing::backend_server* const> servers,
                        service_state& state, std::span<const peer_report> peer_reports);
-    /// Reports of the peers that are alive, by service. Valid until the next message from a peer.
+    /// Returns the reports of the peers that are alive, by service. The result is valid until the
+    /// next message from a peer is handled.
     [[nodiscard]] reports_by_service reports_from_peers() const;
-    /// This proxy's own observation; null for a service that it has not used.
+    /// Returns this proxy's own observation of a service's primary, or null if this proxy has not
+    /// used the service.
     [[nodiscard]] const service_observation* observation_of(const std::string& service) const;
     [[nodiscard]] primary_verdict verdict_for(const service_state& state, const service_observation* own_observation,
                                               std::span<const peer_report> peer_reports,
@@ -187,54 +192,58 @@
     [[nodiscard]] bool confirmation_overdue(time_point now) const;
 
     static constexpr std::string_view proxies_table = "proxies";
-    /// Key of the row in the proxies table that holds `m_cluster`. No proxy has this name.
+    /// Key of the row in the proxies table from which `m_cluster` is computed. No proxy has this
+    /// name.
     static constexpr std::string_view cluster_key = ".cluster";
     static constexpr std::chrono::milliseconds tick_period{100};
-    /// Short enough that a peer's sample is still fresh for reads with a freshness bound of 1.5 s,
-    /// and that losing two datagrams does not make a proxy look dead.
+    /// Short enough that a log position received from a peer can still be used for reads that allow
+    /// data up to 1.5 s old, and that a proxy does not look dead when two datagrams are lost.
     static constexpr std::chrono::milliseconds heartbeat_period{500};
     static constexpr std::chrono::milliseconds suspect_heartbeat_period{100};
-    /// Proxies try a promotion in the order of their names: each waits one step longer than the one
-    /// before, in case that one cannot act.
+    /// Proxies try a promotion in the order of their names. Each waits one step longer than the
+    /// proxy before it, and acts only if the earlier proxies could not.
     static constexpr std::chrono::milliseconds promotion_delay_step{250};
     static constexpr std::ptrdiff_t max_promotion_delay_steps = 6;
     static constexpr std::chrono::milliseconds retry_pause{300};
-    /// Delay after no suitable replica was found: a new server has to register first.
+    /// Delay after an attempt that found no suitable replica, to let a new server register.
     static constexpr std::chrono::milliseconds successor_wait{800};
-    /// Delay after another proxy claimed the promotion; a promotion takes 1.2 s.
+    /// Delay after another proxy claimed the promotion. A promotion takes 1.2 s.
     static constexpr std::chrono::milliseconds other_claim_pause{1200};
-    /// How long a service may have neither a registered nor a reachable primary; longer than a
-    /// promotion takes.
+    /// How long a service may have neither a registered nor a reachable primary before the primary
+    /// counts as lost. Longer than a promotion takes.
     static constexpr std::chrono::milliseconds leaderless_timeout{1800};
-    /// How long the store's change feed may take before a peer is asked instead: half a megabyte
-    /// takes 0.4 s over the slowest links (10 Mbit/s).
+    /// How long to wait for the store's change feed to deliver a new version before a peer is asked
+    /// for it. Half a megabyte takes 0.4 s over the slowest links (10 Mbit/s).
     static constexpr std::chrono::milliseconds feed_head_start{500};
-    /// How long to wait for the proxies of the own data centre that fetch from another one. By then
-    /// they have the new version, unless they are cut off.
+    /// How long a proxy waits before it fetches a new version from another data centre itself. By
+    /// then the proxies of its own data centre that fetch such versions have this one and can pass
+    /// it on, unless they are cut off.
     static constexpr std::chrono::milliseconds remote_fetch_head_start{1200};
-    /// Servers leave with notice, and one that has failed is detected without the registry.
+    /// As `feed_head_start`, for the server registry. It can be longer, because servers announce
+    /// their shutdown and a failed server is detected without the registry.
     static constexpr std::chrono::milliseconds registry_head_start{1500};
-    /// Until the proxy list is complete or this much time has passed, the traffic side gets no list
-    /// and opens the fewest connections.
+    /// The traffic thread gets no list of proxies until the list is complete or this much time has
+    /// passed. Without a list, it opens only the smallest number of connections.
     static constexpr std::chrono::milliseconds peer_list_timeout{1500};
-    /// Timeout for the start of a peer's reply, and between two parts of it.
+    /// Timeout for the start of a peer's snapshot reply, and between two parts of the reply.
     static constexpr std::chrono::milliseconds catch_up_timeout{500};
-    /// Limit on configurations being sent at a time. A small VM's link carries a few within a
-    /// heartbeat period. The proxies that got one pass it on, which serves the rest sooner than one
-    /// link shared by all.
+    /// Maximum number of configurations that this proxy sends concurrently. A small VM's link can
+    /// transfer a few within a heartbeat period. The proxies that received one pass it on, which
+    /// reaches the others sooner than if all shared one link.
     static constexpr std::size_t max_uploads = 4;
-    /// Shortest pause after a failed snapshot request. The actual pause is random, up to twice as
-    /// long.
+    /// Shortest pause after a failed snapshot request. The actual pause is random and at most twice
+    /// as long.
     static constexpr std::chrono::milliseconds catch_up_pause{60};
     static constexpr std::size_t max_service_peers_asked = 12;
     static constexpr std::chrono::milliseconds rewrite_spread{2000};
     static constexpr int max_rewrites = 5;
-    /// Number of live proxies listed in a gossip message. With six exchanges a second each, every
-    /// one of 64 proxies is mentioned about once a second.
+    /// Number of live proxies listed in a gossip message. At six gossip exchanges per proxy and
+    /// second, each of 64 proxies is mentioned about once a second.
     static constexpr std::size_t gossiped_peers = 6;
-    /// Answers to older questions are too old to be of use.
+    /// Maximum number of heartbeat questions remembered while they are unanswered. Answers to older
+    /// questions arrive too late to be of use.
     static constexpr std::size_t max_open_questions = 16;
-    /// A report takes about 60 bytes a service.
+    /// Maximum size of a message. A primary report takes about 60 bytes per service.
     static constexpr std::size_t max_message_bytes = 8192;
 
     asio::any_io_executor m_executor;
@@ -248,13 +257,13 @@
     routing::configuration m_config;
     registry_cache m_registry;
     std::map<std::string, service_state, std::less<>> m_services;
-    /// This proxy's latest observations of the services that it uses, by name. They are far fewer
-    /// than all services, and they are sent in every message.
+    /// This proxy's latest observations of the services that it uses, by service name. A proxy uses
+    /// only a small part of all services, so these observations can be sent in every message.
     std::map<std::string, service_observation, std::less<>> m_observations;
     std::map<std::uint64_t, sent_question> m_questions;
     std::uint64_t m_last_nonce{0};
-    /// Id of this deployment, to ignore messages of other deployments; 0 until it has been read
-    /// from the store.
+    /// Id of this deployment, by which messages of other deployments are recognised and ignored. 0
+    /// until the id has been read from the store.
     std::uint64_t m_cluster{0};
     control_counts m_counts;
     peer_traffic m_peer_traffic;
@@ -262,21 +271,22 @@
     /// Indexed by `cached_table`.
     std::array<table_freshness, 2> m_freshness;
     std::function<bool()> m_store_reachable{[] { return true; }};
-    /// Time of the newest configuration confirmation passed to the traffic side.
+    /// Time for which the configuration was confirmed as current when this was last passed to the
+    /// traffic thread.
     time_point m_published_confirmation{};
     time_point m_started{boot_clock::now()};
     time_point m_last_heartbeat{};
     time_point m_behind_since{};
     bool m_catching_up{false};
     time_point m_catch_up_after{};
-    /// Packed form of the configuration in force, computed when a peer first requests it.
+    /// The configuration in force, compressed when a peer first requests it.
     packed_part m_packed_config;
     packed_part m_packed_registry;
     std::size_t m_uploads{0};
     bool m_leaving{false};
     /// Proxies first seen since the last tick.
     std::vector<std::string> m_joined;
-    /// Whether the other proxies have been read from the store.
+    /// Whether the list of proxies has been read from the store.
     bool m_peers_loaded{false};
     std::vector<session::proxy_node> m_published_proxies;
     /// Whether `m_published_proxies` included every proxy in the table when it was published.
--- a/src/cornellever/cluster/counted_store.hpp
+++ b/src/cornellever/cluster/counted_store.hpp
@@ -18,8 +18,8 @@
     own_row,
     first_reading,
     waiting,
-    /// A whole table was read again, in case peers missed a change or because its change history
-    /// was gone.
+    /// A whole table was read again, because peers may have missed a change or because the table's
+    /// change history was discarded.
     reading_again,
     /// Any call that followed a failed call on the same table.
     retry,
@@ -44,9 +44,9 @@
     return "-";
 }
 
-/// A `metadata_store` that forwards each call to another one and counts it by table and purpose.
-/// The store limits the calls of all proxies together and every call is paid for, so operators need
-/// to see what causes them.
+/// A `metadata_store` that forwards each call to another `metadata_store` and counts the call by
+/// table and purpose. The store limits the rate of all proxies' calls together and every call costs
+/// money, so operators need to see what causes the calls.
 template <metadata_store Store>
 class counted_store {
 public:
@@ -98,7 +98,8 @@
         co_return co_await m_store.remove(std::move(table), std::move(key));
     }
 
-    /// Calls so far; combinations that never occurred are left out. Callable from any thread.
+    /// Returns the number of calls so far for each table and purpose that occurred. Can be called
+    /// from any thread.
     [[nodiscard]] std::vector<count> counts() const {
         const std::scoped_lock lock{m_mutex};
         std::vector<count> out;
@@ -120,7 +121,7 @@
     }
 
     Store& m_store;
-    /// Tables that have been read whole, and tables whose last call failed.
+    /// For each table: whether it has been read completely, and whether the last call on it failed.
     std::map<std::string, bool, std::less<>> m_loaded;
     std::map<std::string, bool, std::less<>> m_failed;
     mutable std::mutex m_mutex;
--- a/src/cornellever/cluster/describe.hpp
+++ b/src/cornellever/cluster/describe.hpp
@@ -29,7 +29,8 @@
     }
 }
 
-/// The same counters as log fields, for deployments where only logs are available.
+/// Returns the same counters as fields of a log line, for deployments where only logs are
+/// available.
 template <metadata_store Store>
 [[nodiscard]] std::string traffic_log_fields(const counted_store<Store>& store, const peer_traffic& traffic) {
     std::string out;
--- a/src/cornellever/cluster/membership.hpp
+++ b/src/cornellever/cluster/membership.hpp
@@ -17,78 +17,83 @@
 
 namespace cornellever::cluster {
 
-/// What is known of another proxy.
+/// What is known about another proxy.
 struct peer {
     asio::ip::udp::endpoint address;
     std::string data_center;
     std::uint64_t incarnation{0};
-    /// Incarnation of the peer's previous process; late messages from it are ignored.
+    /// Incarnation of the peer's previous process. Late messages from that process are ignored.
     std::uint64_t previous_incarnation{0};
-    /// When its last message arrived; the epoch if none has.
+    /// When the peer's last message arrived; the epoch if none has arrived.
     boot_clock::time_point last_message_at{};
-    /// When it was last known to be alive, from its own message or from gossip.
+    /// When the peer was last known to be alive, from a message of its own or from gossip.
     boot_clock::time_point alive_at{};
-    /// When it was added to the membership.
+    /// When the peer was added to the membership.
     boot_clock::time_point known_since{};
-    /// When the first question since its last message was sent; the epoch if none is unanswered.
+    /// When this proxy sent the first heartbeat question that followed the peer's last message; the
+    /// epoch if no question is unanswered.
     boot_clock::time_point unanswered_since{};
     std::uint64_t config_version{0};
     std::uint64_t registry_version{0};
     bool store_reachable{true};
-    /// Its primary reports, and the time at which their ages were valid.
+    /// The peer's reports on primaries, and the time to which the ages in the reports refer.
     std::vector<primary_report> primaries{};
     boot_clock::time_point reported_at{};
 };
 
-/// The peers to send a heartbeat question to.
+/// The peers to which the next heartbeat question is sent.
 struct heartbeat_targets {
     /// Peers that use the same services.
     std::vector<asio::ip::udp::endpoint> service_peers;
-    /// Peers that also exchange gossip on which other proxies are alive.
+    /// Other peers. The question to them and their answers also carry gossip about which proxies
+    /// are alive.
     std::vector<asio::ip::udp::endpoint> gossip_peers;
 };
 
-/// The other proxies by name. A proxy is discovered from its row in the store or from its own
-/// heartbeat, whichever comes first. Failure detection is in the manner of SWIM: each proxy
-/// questions a few peers, gossips on the others, and removes one only after it left a direct
-/// question unanswered.
+/// The other proxies (peers) by name. A proxy is discovered from its row in the metadata store or
+/// from its first heartbeat, whichever comes first. Failures are detected in the manner of the SWIM
+/// protocol: each proxy sends heartbeat questions to a few peers, learns from gossip about the
+/// others, and removes a peer only after that peer left a direct question unanswered.
 class membership {
 public:
     using time_point = boot_clock::time_point;
 
-    /// Heartbeats are at most half a second apart, so that two may be lost. In large clusters,
-    /// where each proxy asks only some others, gossip takes the place of the heartbeat.
+    /// A proxy counts as alive for this long after the last evidence of it. Heartbeats are at most
+    /// half a second apart, so two may be lost. In large clusters, where each proxy asks only some
+    /// of the others, gossip provides the evidence instead of a heartbeat.
     static constexpr std::chrono::milliseconds alive_timeout{1600};
-    /// A killed proxy has restarted or has been replaced by then. Its share of the connections is
-    /// reserved for it that long.
+    /// A proxy that was killed has restarted or has been replaced within this time. Until then, the
+    /// other proxies do not take over the server connections allocated to it.
     static constexpr std::chrono::milliseconds removal_timeout{8000};
-    /// A proxy of which nothing was heard for so long is asked directly, well before it would be
+    /// A proxy without a sign of life for this long is asked directly, well before it would be
     /// removed.
     static constexpr std::chrono::milliseconds suspect_after{4000};
-    /// An answer takes milliseconds, but it or the question may be lost, and the next question
-    /// follows half a second later.
+    /// An answer takes milliseconds. This timeout allows for one lost question or answer, since the
+    /// next question follows half a second later.
     static constexpr std::chrono::milliseconds answer_timeout{1000};
-    /// Limit on suspects asked at a time. With more suspects, the rest depend on later gossip; a proxy
-    /// that has not been asked is not removed.
+    /// Maximum number of suspects (see `suspect_after`) asked at a time. Further suspects are
+    /// confirmed alive by later gossip or asked later; a proxy that has not been asked is not
+    /// removed.
     static constexpr std::size_t max_suspects_asked = 8;
 
     explicit membership(std::string self) : m_self{std::move(self)} {}
 
-    /// Adds a proxy that may be running at `address`. The address of a known proxy is updated
-    /// unless it is alive.
+    /// Adds a proxy that may be running at `address`. If the proxy is already known, its address is
+    /// updated unless the proxy is alive.
     void add_peer(const std::string& name, const std::string& data_center, const asio::ip::udp::endpoint& address,
                   time_point now);
 
-    /// Records a message whose ages were valid at `ages_as_of`. Returns true if the sender's
-    /// process was not known before.
+    /// Records a message; the ages in it refer to the time `ages_as_of`. Returns true if the
+    /// sender's process was not known before.
     bool record_message(const peer_message& message, const asio::ip::udp::endpoint& from, time_point now,
                         time_point ages_as_of);
 
-    /// Records that another proxy reported this peer to be alive. An unknown peer is ignored, since
-    /// its address is not given; it is discovered in other ways.
+    /// Records that another proxy reported the peer `other` to be alive. An unknown peer is ignored
+    /// because gossip does not carry its address; it is discovered from its row in the store or
+    /// from its heartbeat.
     void record_alive(const peer_liveness& other, time_point now);
 
-    /// A random sample of up to `count` peers that are alive, to be gossiped.
+    /// Returns a random sample of up to `count` peers that are alive, to be sent as gossip.
     template <typename Random>
     [[nodiscard]] std::vector<peer_liveness> sample_alive(std::size_t count, time_point now, Random& random) const {
         using known = std::pair<const std::string, peer>;
@@ -108,11 +113,11 @@
         return out;
     }
 
-    /// Selects the peers to ask now: all of them if there are at most `max_peers`. Otherwise, first
-    /// the peers that use one of `services` too, because they observe the same primaries: the
-    /// `owners` of connections to them, whether or not they have reported it yet, and those that
-    /// have. In addition, some of the rest for gossip: the one silent for longest, one of the same
-    /// data centre, one at random, and suspects.
+    /// Selects the peers to ask now: all peers if there are at most `max_peers`. Otherwise, first
+    /// the peers that also use one of `services`, because they observe the same primaries: those in
+    /// `owners`, which are allocated connections to the services, and those that have reported on
+    /// the services. In addition, a few of the other peers for gossip: the peer without a sign of
+    /// life for longest, one of the same data centre, one at random, and suspects.
     template <typename Random>
     [[nodiscard]] heartbeat_targets
     select_targets(const std::set<std::string, std::less<>>& services, const std::set<std::string, std::less<>>& owners,
@@ -147,34 +152,36 @@
         return out;
     }
 
-    /// Records that questions were sent to these addresses.
+    /// Records that heartbeat questions were sent to these addresses.
     void record_sent(std::span<const asio::ip::udp::endpoint> addresses, time_point now);
 
     /// Removes a proxy that announced its shutdown.
     void leave(const std::string& name);
 
     /// Removes the proxies that were not known to be alive for `removal_timeout` and left a
-    /// question of this proxy unanswered; returns their names. Silence alone is no evidence: with
-    /// 195 proxies, each hears of any other only every few seconds on average, and without this
-    /// rule healthy proxies removed each other 300 times a second and redistributed connections
-    /// each time.
+    /// question of this proxy unanswered; returns their names. Silence alone is not enough
+    /// evidence: with 195 proxies, each learns about any other only every few seconds on average.
+    /// When silence was enough, healthy proxies removed each other 300 times a second and
+    /// reallocated the connections each time.
     std::vector<std::string> remove_unresponsive(time_point now);
 
     [[nodiscard]] const std::map<std::string, peer, std::less<>>& peers() const noexcept { return m_peers; }
 
-    /// Sorted names of the proxies that are alive and reach the store. Always includes this proxy,
-    /// whether it reaches the store or not.
+    /// Returns the sorted names of the proxies that are alive and can reach the metadata store.
+    /// Always includes this proxy, whether it can reach the store or not.
     [[nodiscard]] std::vector<std::string> eligible(time_point now) const;
 
-    /// The number of proxies that share the connections, including this one.
+    /// Returns the number of proxies among which the connections to the servers are divided,
+    /// including this one.
     [[nodiscard]] std::size_t proxy_count() const noexcept { return m_peers.size() + 1; }
 
     [[nodiscard]] static bool is_alive(const peer& item, time_point now) {
         return item.alive_at != time_point{} && now - item.alive_at < alive_timeout;
     }
 
-    /// Whether a proxy can be assumed to be alive without evidence from the last second: it has not
-    /// failed to answer, or was discovered too recently to have been heard of.
+    /// Whether a proxy can be assumed to be alive without evidence from the last `alive_timeout`:
+    /// either it has left no question unanswered, or it was discovered too recently for any sign of
+    /// life to have arrived.
     [[nodiscard]] static bool is_presumed_alive(const peer& item, time_point now) {
         if (item.alive_at == time_point{}) {
             return now - item.known_since < alive_timeout;
@@ -183,8 +190,9 @@
     }
 
 private:
-    /// Whether a peer is to be asked directly because it has not been seen alive for a while. It is
-    /// asked two or three times and then no more: many peers may be behind a broken network path.
+    /// Whether a peer is to be asked directly because there has been no sign of life from it for
+    /// `suspect_after`. A suspect is asked two or three times and then no more, because many peers
+    /// may be behind a broken network path.
     [[nodiscard]] static bool is_suspect(const peer& item, time_point now) {
         constexpr std::chrono::milliseconds asking_period{1500};
         return now - item.alive_at > suspect_after &&
