--- a/src/cornellever/cluster/control.ipp
+++ b/src/cornellever/cluster/control.ipp
@@ -102,8 +102,8 @@
     }
 }
 
-/// Logs one line for all of them: when many proxies start together, each would otherwise log a line
-/// for every other one.
+/// Logs one line for all names: when many proxies start together, each proxy would otherwise log a
+/// line for every other proxy.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::log_members(event what, const std::vector<std::string>& names,
                                                     std::string_view suffix) {
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -1,6 +1,7 @@
 #pragma once
 
-// Joining and leaving the cluster, and publishing the proxies that share the connections.
+// Joining and leaving the cluster, and telling the traffic thread which proxies share the
+// connections to the backend servers.
 
 namespace cornellever::cluster {
 
@@ -11,10 +12,10 @@
     const std::string table{proxies_table};
     const auto address = own_row();
     bool registered = false;
-    // A proxy that reads the table after this one's row was written finds this one, and this one
-    // reads the rows that were there before: no two miss each other. After a restart the row exists
-    // already, and reading the table once is enough; 195 rows written at once would take the store
-    // 0.8 s at 250 writes a second.
+    // A proxy that reads the table after this proxy's row was written finds this proxy, and this
+    // proxy finds the proxies whose rows were written before it reads the table, so no two proxies
+    // miss each other. After a restart the row exists already and is not written again: 195 rows
+    // written at the same time would take the store 0.8 s at 250 writes a second.
     bool in_table = !m_settings.first_start;
     bool added = false;
     while (!registered) {
@@ -44,15 +45,16 @@
     send_heartbeats();
 }
 
-/// The address at which the other proxies reach this one, and its data centre.
+/// Returns the value of this proxy's row: the address for heartbeats from other proxies, and the
+/// data centre.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 std::string control<Store, Orders, Connector>::own_row() const {
     return m_settings.heartbeats.address().to_string() + ":" + std::to_string(m_settings.heartbeats.port()) + " " +
            m_settings.data_center;
 }
 
-/// Writes this proxy's row again after a random delay, because all proxies do so at the same time.
-/// Proxies that start later discover the others from these rows.
+/// Writes this proxy's row again after a random delay, because all proxies do this at the same
+/// time. The row is needed by proxies that start later, which discover the others from these rows.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::rewrite_own_row() {
     std::uniform_int_distribution<long long> wait{0, rewrite_spread.count()};
@@ -89,8 +91,9 @@
     }
 }
 
-/// Creates the id of the deployment; only the first proxy succeeds. The row is read back, because
-/// another proxy may have been faster or the response may have been lost.
+/// Creates the id of the deployment. Only the first proxy to write it succeeds. If the write fails,
+/// the row is read, because another proxy may have been faster or the response to this write may
+/// have been lost.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::create_cluster_id() {
     const std::string table{proxies_table};
@@ -106,15 +109,16 @@
         m_cluster = cluster_id(row->value);
         co_return;
     }
-    // Without an id, messages of all deployments are accepted, as are messages of proxies that have
-    // none.
+    // Without an id, this proxy accepts messages of all deployments. Messages that carry no id are
+    // accepted by all proxies.
     log_event(event::store_lost, "table=" + table + " reason=cluster_id");
 }
 
-/// Announces this proxy to all known peers at once instead of when they next happen to be asked,
-/// because all proxies must agree on who shares the connections. Greetings are not answered: 195
-/// proxies that start together would exchange 37,800 questions and as many answers while callers
-/// reconnect. Proxies that were in the table already are known to all and send no greeting.
+/// Announces this proxy to all known peers immediately, not only when each is next sent a
+/// heartbeat, because all proxies must agree on which proxies share the connections. Greetings are
+/// not answered: 195 proxies that start together would exchange 37,800 questions and as many
+/// answers while client applications reconnect. A proxy whose row was in the table before is known
+/// to all peers and sends no greeting.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::send_greetings() {
     send(build_message(peer_message::kind::greeting), all_peers());
--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -1,13 +1,13 @@
 #pragma once
 
-// Heartbeats between proxies.
+// Heartbeats between this proxy and the other proxies (its peers).
 
 namespace cornellever::cluster {
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 peer_message control<Store, Orders, Connector>::build_message(peer_message::kind what) const {
     const auto now = boot_clock::now();
-    // Rounded up, so that confirmations never look more recent than they are.
+    // Ages are rounded up, so that confirmations never look more recent than they are.
     const auto age = [now](time_point at) { return std::chrono::ceil<std::chrono::milliseconds>(now - at); };
     const auto age_of = [&](cached_table table) -> std::optional<std::chrono::milliseconds> {
         const auto at = m_freshness.at(index_of(table)).confirmed_current_at();
@@ -48,8 +48,8 @@
 void control<Store, Orders, Connector>::send(const peer_message& message, std::span<const asio::ip::udp::endpoint> to) {
     const auto bytes = encode(message);
     for (const auto& where : to) {
-        // Heartbeats may be lost anyway, so a send that fails or would block is treated as a lost
-        // one.
+        // The protocol tolerates lost heartbeats, so a send that fails or would block is treated as
+        // a lost heartbeat.
         boost::system::error_code ignored;
         m_socket.send_to(asio::buffer(bytes), where, 0, ignored);
     }
@@ -61,8 +61,8 @@
     for (const auto& [service, latest] : m_observations) {
         used.insert(service);
     }
-    // In a large cluster each proxy asks only a few, so that its work does not grow with the
-    // cluster.
+    // In a large cluster, each proxy asks only a few peers, so that the number of messages that it
+    // sends does not grow with the cluster.
     auto peers = m_members.select_targets(used, owners_of(used), m_settings.data_center, max_service_peers_asked,
                                           boot_clock::now(), m_random);
     if (peers.service_peers.empty() && peers.gossip_peers.empty()) {
@@ -72,10 +72,10 @@
     send_questions(peers);
 }
 
-/// The proxies that hold connections to these services. A primary that others reach is not lost, so
-/// they have to be asked from the start. A proxy that discovered them only by chance knew one or
-/// two of six when a network partition came 3 s after the first session, and had a replica promoted
-/// while the others went on writing at the primary.
+/// Returns the proxies that are allocated connections to these services. They have to be asked from
+/// the start, because a primary that any of them reaches is not lost. When a proxy discovered them
+/// only by chance, it knew one or two of six at a network partition 3 s after the first session,
+/// and had a replica promoted while the others went on writing to the primary.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 std::set<std::string, std::less<>>
 control<Store, Orders, Connector>::owners_of(const std::set<std::string, std::less<>>& services) const {
@@ -100,8 +100,8 @@
     auto message = build_message(peer_message::kind::question);
     message.nonce = ++m_last_nonce;
     if (m_members.proxy_count() > small_cluster_size) {
-        // Peers that use the same services ask this proxy too and get its reports in the answers;
-        // sending them in the question as well would cost bytes twice.
+        // Peers that use the same services send questions to this proxy too and get its reports in
+        // the answers; reports in this question would be sent twice.
         message.has_reports = false;
         message.primaries.clear();
     }
--- a/src/cornellever/cluster/control_primaries.ipp
+++ b/src/cornellever/cluster/control_primaries.ipp
@@ -62,7 +62,8 @@
     if (!m_store_reachable()) {
         return promotion_delay_step * (max_promotion_delay_steps + 2);
     }
-    // The proxies that use the service judge its primary, ordered by name.
+    // Only proxies that use the service can judge its primary. They are ordered by name, and this
+    // proxy waits one step for each of them before it.
     std::ptrdiff_t position = 0;
     for (const auto& name : m_members.eligible(boot_clock::now())) {
         const auto found = m_members.peers().find(name);
@@ -89,7 +90,8 @@
     }
 }
 
-/// Decides whether a service's primary has to be replaced, and whether this proxy does it now.
+/// Decides whether a service's primary has to be replaced, and whether this proxy starts the
+/// replacement now.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::check_primary(const std::string& service,
                                                       std::span<const routing::backend_server* const> servers,
--- a/src/cornellever/cluster/control_tables.ipp
+++ b/src/cornellever/cluster/control_tables.ipp
@@ -4,10 +4,10 @@
 
 namespace cornellever::cluster {
 
-/// The proxies that share the work of polling the store. A proxy that was just read from the table
-/// counts until it could have been heard of; otherwise, after a start of all proxies, each would
-/// regard itself as the only one. While the store answers none of them, all that are alive share
-/// the work of retrying.
+/// Returns the other proxies among which polling the store is divided. A proxy just read from the
+/// proxies table is included until its first heartbeat is overdue; otherwise, when all proxies
+/// start together, each would regard itself as the only one. If the store responds to none of the
+/// others, all that are alive are returned and divide the retries.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 std::vector<std::string> control<Store, Orders, Connector>::watch_candidates(time_point now) const {
     std::vector<std::string> eligible;
@@ -31,7 +31,7 @@
     const auto& freshness = m_freshness.at(index_of(what));
     const auto now = boot_clock::now();
     const auto others = watch_candidates(now);
-    // If the store refuses this proxy but answers others, those do the polling.
+    // If the store refuses this proxy but responds to other proxies, only the others poll it.
     const bool relies_on_peers = !m_peers_loaded || (!m_store_reachable() && !others.empty() &&
                                                      std::ranges::any_of(others, [&](const std::string& name) {
                                                          return m_members.peers().find(name)->second.store_reachable;
@@ -46,8 +46,9 @@
     return out;
 }
 
-/// Applies the ages of a peer's copies. Only answers count: they were given after the question was
-/// sent, however long they took to arrive.
+/// Applies the ages of a peer's table copies from an answer to a heartbeat question. Answers are
+/// used because they were written after the question was sent, however long they took to arrive, so
+/// the time to which the ages refer is known.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::apply_table_ages(const peer_message& message, time_point ages_as_of) {
     const auto note_peer_version = [&](cached_table what, std::uint64_t version,
@@ -62,17 +63,19 @@
     publish_confirmation();
 }
 
-/// Whether the configuration lease has expired or is about to. Without it, requests with a key are
-/// refused until the configuration is confirmed current.
+/// Returns whether the last confirmation of the configuration is older than `confirmation_due`: the
+/// configuration lease, the time for which a confirmation is valid, has expired or is about to.
+/// After it expires, requests with a key are refused until the configuration is confirmed as
+/// current again.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 bool control<Store, Orders, Connector>::confirmation_overdue(time_point now) const {
     const auto at = m_freshness.at(index_of(cached_table::configuration)).confirmed_current_at();
     return m_settings.confirmation_due && at != time_point{} && now - at > *m_settings.confirmation_due;
 }
 
-/// Passes the time for which the configuration is confirmed current to the traffic side. It follows
-/// the configuration itself, so that a confirmation never applies to an older copy than the one it
-/// was given for.
+/// Passes the time for which the configuration is confirmed as current to the traffic thread. The
+/// configuration itself was passed before, so that a confirmation is never applied to an older
+/// configuration than the one that was confirmed.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::publish_confirmation() {
     const auto at = m_freshness.at(index_of(cached_table::configuration)).confirmed_current_at();
@@ -82,9 +85,9 @@
     }
 }
 
-/// Whether this proxy is one of the two of its data centre that fetch new versions from another
-/// one. The others get them from these two: a configuration of many databases is 330 KB, and bytes
-/// between data centres are paid for.
+/// Returns whether this proxy is one of the two in its data centre that fetch new versions from
+/// another data centre. The other proxies get the versions from these two, because a configuration
+/// of many databases is 330 KB and traffic between data centres costs money.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 bool control<Store, Orders, Connector>::fetches_across_data_centers(time_point now) const {
     constexpr std::size_t fetching = 2;
@@ -97,9 +100,10 @@
     return watch_rank(m_settings.data_center, m_settings.name, same_data_center) < fetching;
 }
 
-/// Detects that a peer has a newer configuration or registry. The store's change feed delivers both
-/// within a few milliseconds; if it does not, its connection has failed or the store refuses this
-/// proxy, and the peer is asked.
+/// Detects that a peer has a newer configuration or registry. The store's change feed normally
+/// delivers both within a few milliseconds. If it has not delivered them, the connection to the
+/// store has failed or the store refuses this proxy, and the snapshot is fetched from the peer
+/// instead.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::compare_versions(const peer_message& message,
                                                          const asio::ip::udp::endpoint& from, time_point now) {
@@ -126,8 +130,8 @@
     }
 }
 
-/// The reply to a peer's snapshot request. Error: `busy` while the maximum number of uploads is in
-/// progress; the peer can get the snapshot soon from another proxy.
+/// Returns the reply to a peer's snapshot request. Error: `busy` if `max_uploads` transfers of the
+/// configuration are in progress; the peer can get the snapshot from another proxy soon.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 result<Json::Value> control<Store, Orders, Connector>::snapshot_for(known_versions known, rpc::connection& to) {
     if (m_config.version > known.config) {
@@ -146,8 +150,8 @@
     return snapshot_of(m_packed_config, m_packed_registry, known);
 }
 
-/// Fetches configuration and registry from a peer that has newer ones, because the store does not
-/// answer this proxy or its feed has not delivered them.
+/// Fetches the configuration and the registry from a peer that has newer ones, because the store
+/// does not respond to this proxy or its change feed has not delivered them.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 asio::awaitable<void> control<Store, Orders, Connector>::catch_up(std::string from, asio::ip::address address) {
     rpc::channel link{m_executor, tcp::endpoint{address, m_settings.peers.port()}};
@@ -157,7 +161,8 @@
     auto answer = co_await link.call("snapshot", std::move(params), catch_up_timeout, catch_up_timeout);
     m_catching_up = false;
     if (!answer) {
-        // Retried at the next message of any peer that has the newer version.
+        // The fetch is retried when the next message arrives from any peer that has a newer
+        // version.
         std::uniform_int_distribution<long long> pause{catch_up_pause.count(), 2 * catch_up_pause.count()};
         m_catch_up_after = boot_clock::now() + std::chrono::milliseconds{pause(m_random)};
         log_event(event::config_fetch_failed, "peer=" + from + " version=" + std::to_string(m_config.version) +
@@ -171,7 +176,7 @@
         log_event(event::config_refused, "peer=" + from + " reason=\"" + got.error().message + "\"");
         co_return;
     }
-    // A version of 0 is a part that was not newer.
+    // Version 0 means that the peer left this part out because it is not newer than this proxy's.
     log_event(event::config_loaded, "peer=" + from + " version=" + std::to_string(got->config.version) +
                                         " registry=" + std::to_string(got->servers.version));
     const bool newer_config = got->config.version > m_config.version;
--- a/src/cornellever/cluster/peer_message.cpp
+++ b/src/cornellever/cluster/peer_message.cpp
@@ -12,16 +12,17 @@
 /// First field of every message; identifies the protocol version.
 constexpr std::string_view magic = "cl4";
 
-/// Precedes the list of live proxies; no service has this name.
+/// Precedes the list of live proxies in a message. No service has this name.
 constexpr std::string_view alive_peers_mark = "/";
 
-/// Takes the place of the reports in a message that carries none.
+/// Written in place of the primary reports in a message that carries none.
 constexpr std::string_view no_reports = "~";
 
-/// Stands for an age that the sender does not know.
+/// Written in place of an age that the sender does not know.
 constexpr std::string_view no_age = "-";
 
-/// Flags of a report: the highest position follows, or equals that of the sample.
+/// Flags of a primary report: the highest position follows as a field of its own, or it equals the
+/// position of the sample.
 constexpr char furthest_given = 'f';
 constexpr char furthest_as_sample = 'e';
 
@@ -55,7 +56,7 @@
     return std::nullopt;
 }
 
-/// Reads the fields of a datagram in order; `good` becomes false at the first field that is missing
+/// Reads the fields of a datagram in order. `good` becomes false at the first field that is missing
 /// or malformed.
 class field_reader {
 public:
@@ -69,7 +70,7 @@
         return out;
     }
 
-    /// The next field, without consuming it.
+    /// Returns the next field without consuming it.
     [[nodiscard]] std::string_view next() const { return m_rest.substr(0, m_rest.find(' ')); }
 
     std::uint64_t number() {
@@ -88,7 +89,7 @@
         return std::chrono::milliseconds{static_cast<long long>(m_good ? ms : 0)};
     }
 
-    /// An age, or the mark for an unknown one.
+    /// Reads an age; returns nullopt if the field is the mark for an unknown age.
     std::optional<std::chrono::milliseconds> optional_age() {
         if (next() != no_age) {
             return age();
--- a/src/cornellever/cluster/peer_traffic.hpp
+++ b/src/cornellever/cluster/peer_traffic.hpp
@@ -25,8 +25,9 @@
 }
 
 /// Counts received peer messages by kind and by whether they came from the same data centre,
-/// because traffic between data centres is paid for. They are counted on receipt: a sender does not
-/// look up the data centre of each target. Readable from any thread.
+/// because traffic between data centres costs money. Messages are counted by the receiver, because
+/// they carry the sender's data centre while a sender does not look up that of each target. The
+/// counters can be read from any thread.
 class peer_traffic {
 public:
     static constexpr std::array kinds{peer_message::kind::question, peer_message::kind::answer,
--- a/src/cornellever/cluster/primary_judge.cpp
+++ b/src/cornellever/cluster/primary_judge.cpp
@@ -8,24 +8,27 @@
 
 using std::chrono::milliseconds;
 
-/// A refusal means that the VM itself answered that no process listens. The short wait is for the
-/// case that a connection's end arrives before the refusal.
+/// How long a primary may be unreachable if its VM replied that no process listens on the port. The
+/// wait is short because such a refusal is strong evidence; it covers the case that the end of one
+/// connection arrives before the refusal of the next.
 constexpr milliseconds refused_timeout{150};
 
-/// Silence may also be a lost packet, which TCP retransmits after 200 ms, or a pause of this
-/// proxy's own VM.
+/// How long a primary may be unreachable without a refusal. Silence may also be caused by a lost
+/// packet, which TCP retransmits after 200 ms, or by a pause of this proxy's own VM.
 constexpr milliseconds silence_timeout{500};
 
-/// A peer that got an answer from the primary within this time still reaches it: proxies query an
-/// otherwise idle primary five times a second.
+/// A proxy that got a response from the primary within this time counts as reaching it: proxies
+/// query an otherwise idle primary five times a second.
 constexpr milliseconds recent_answer{450};
 
-/// A proxy without any live peer cannot tell whether it is cut off itself, and lets others act
-/// first, which would observe the same.
+/// A proxy that knows other proxies but has no report from any of them may itself be cut off from
+/// the network. It waits this long, so that the others, which would observe a real failure too, can
+/// act first.
 constexpr milliseconds isolated_timeout{2500};
 
-/// A server misses three heartbeats before its entry disappears. After an outage of the store
-/// itself, entries are back within 2 s.
+/// The registry entry of a server disappears only after the server has missed three heartbeats, so
+/// a short wait is enough if the primary is also unreachable. Otherwise the limit is longer than
+/// the 2 s within which entries are back after an outage of the store itself.
 constexpr milliseconds missing_and_unreachable{300};
 constexpr milliseconds missing_limit{2600};
 
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -18,45 +18,46 @@
 
 namespace cornellever::cluster {
 
-/// The platform interface that executes promotions. Errors: `fenced` (a higher fencing token was
-/// seen, or the server does not run), `busy` and `unavailable` (not executed); after
-/// `outcome_unknown` the order may still be executed later.
+/// The platform's interface for promoting a replica. Errors: `fenced` (the platform has seen a
+/// higher fencing token, or the server does not run), `busy` and `unavailable` (the order was not
+/// executed), `outcome_unknown` (the order may still be executed later).
 template <typename T>
 concept promotion_orders = requires(T orders, std::string text, std::uint64_t token) {
     { orders.promote(text, text, text, token) } -> std::same_as<asio::awaitable<result<void>>>;
 };
 
-/// The servers of a service as a promotion accesses them.
+/// Access to the servers of a service during a promotion.
 template <typename T>
 concept promotion_servers = requires(T servers, std::string text, std::chrono::milliseconds timeout) {
-    /// A report for each registered server except the second argument's.
+    /// Returns a report on each registered server of a service, except the server given second.
     { servers.query_replicas(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
-    /// Whether a server confirms within `timeout` that it is the primary.
+    /// Returns whether a server confirms within `timeout` that it is the primary.
     { servers.is_primary_now(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
     /// Waits up to `timeout` for a server to become the primary; returns whether it did.
     { servers.await_leadership(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
 };
 
-/// How a promotion ended: the final state of the chart, the event that led to it, and the server
-/// chosen.
+/// How a promotion ended: the final state of the state chart, the event that led to that state, and
+/// the server chosen.
 struct promotion_outcome {
     std::string state;
     std::string event;
     std::string successor;
 };
 
-/// Replaces a service's primary by running a state chart.
+/// Replaces a service's primary by running a state chart, a state machine read from
+/// charts/promotion.ini.
 ///
-/// Any proxy may try. Mutual exclusion is by a claim row in the metadata store: it is written on
-/// the condition that it has not changed since it was read, and its new version becomes the fencing
-/// token of the promotion order. So two proxies never use the same token, and an order that was
-/// delayed, or that comes from a proxy that was paused meanwhile, is refused once a later order was
-/// executed.
+/// Any proxy may try. Mutual exclusion is by a claim, a row in the metadata store that reserves the
+/// promotion. The row is written only if it has not changed since it was read, and its new version
+/// becomes the fencing token of the promotion order, so two proxies never use the same token. Once
+/// an order is executed, an order with a lower token is refused: one that was delayed, or one from
+/// a proxy that was paused meanwhile.
 template <metadata_store Store, promotion_servers Servers, promotion_orders Orders>
 class promotion {
 public:
-    /// `holder` identifies this proxy to the platform; `claimant` also distinguishes incarnations
-    /// of its process.
+    /// `holder` identifies this proxy to the platform. `claimant` identifies this process of the
+    /// proxy, so that a restarted proxy does not take an earlier claim for its own.
     promotion(Store& store, Servers& servers, Orders& orders, const state_chart& steps, std::string holder,
               std::string claimant)
         : m_store{store}
@@ -66,8 +67,8 @@
         , m_holder{std::move(holder)}
         , m_claimant{std::move(claimant)} {}
 
-    /// Runs the chart once to replace `old` (empty if no primary is known), which has been judged
-    /// lost or leaving for `judged_for`.
+    /// Runs the state chart once to replace `old`, which has been judged lost or leaving for the
+    /// time `judged_for`. `old` is empty if no primary is known.
     asio::awaitable<promotion_outcome> run(std::string service, std::string old, primary_verdict why,
                                            boot_clock::time_point::duration judged_for = {}) {
         attempt current{.service = std::move(service), .old = std::move(old), .why = why, .judged_for = judged_for};
@@ -95,18 +96,19 @@
         int orders{0};
     };
 
-    /// How long a claim excludes the other proxies from replacing the same primary. A promotion
-    /// takes about 1.2 s from the order until the new primary is confirmed.
+    /// How long a claim keeps the other proxies from replacing the same primary. A promotion takes
+    /// about 1.2 s from the order until the new primary is confirmed.
     static constexpr std::chrono::milliseconds claim_lease{2600};
     static constexpr std::chrono::milliseconds leadership_timeout{1400};
-    /// How long to wait for a silent server that may hold the only log: longer than most servers
-    /// take to restart. Callers are refused meanwhile.
+    /// How long to wait for a server that does not respond but may hold the only log: longer than
+    /// most servers take to restart. Statements of client applications are refused meanwhile.
     static constexpr std::chrono::milliseconds missing_log_wait{5000};
-    /// Allows for a new connection (12 to 30 ms) and a request that takes no slot. If the primary
-    /// does not answer at all, this adds to the write outage (1.2 to 2.0 s).
+    /// Allows for a new connection (12 to 30 ms) and a request that the server handles even if all
+    /// its statement slots are taken. If the primary does not respond at all, this timeout adds to
+    /// the time without writes (1.2 to 2.0 s).
     static constexpr std::chrono::milliseconds recheck_timeout{100};
-    /// An unanswered order may be executed up to 12 s later. This limit lets other proxies claim
-    /// the promotion long before that.
+    /// Maximum number of times that an order is sent. An order without a response may be executed
+    /// up to 12 s later; this limit lets other proxies claim the promotion long before that.
     static constexpr int max_orders = 3;
 
     asio::awaitable<std::string> act(std::string_view action, attempt& current) {
@@ -167,8 +169,8 @@
         if (written.error().code == errc::conflict) {
             co_return "held_by_other";
         }
-        // The response was lost, perhaps after the row was written. The row shows which: no other
-        // claim has this holder and number.
+        // The response was lost, possibly after the row was written. Reading the row shows whether
+        // it was: no other claim has this holder and number.
         auto after = co_await m_store.read(std::string{claims_table}, current.service);
         if (!after) {
             co_return "store_unreachable";
@@ -181,10 +183,10 @@
         co_return "held_by_other";
     }
 
-    /// A network partition that ends during the attempt leaves a healthy primary: the evidence
-    /// against it is from before the claim, which may have taken as long as the store was
-    /// unreachable. Promoting a replica then would roll back what others wrote at the primary
-    /// meanwhile.
+    /// Checks again whether the old primary is lost. A network partition may have ended during the
+    /// attempt, so that the primary is healthy again: the evidence against it is older than the
+    /// claim, which took as long as the store was unreachable. Promoting a replica would then roll
+    /// back what others wrote to the primary meanwhile.
     asio::awaitable<std::string> recheck(attempt& current) {
         if (current.why != primary_verdict::lost || current.old.empty()) {
             co_return "gone";
--- a/src/cornellever/cluster/promotion_claim.cpp
+++ b/src/cornellever/cluster/promotion_claim.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Stands for an empty field.
+/// Written in place of an empty field.
 constexpr std::string_view empty_field = "-";
 
 std::string_view field_of(const std::string& text) {
--- a/src/cornellever/cluster/promotion_claim.hpp
+++ b/src/cornellever/cluster/promotion_claim.hpp
@@ -8,17 +8,19 @@
 
 namespace cornellever::cluster {
 
-/// The table that holds, per service, the claim on replacing its primary.
+/// The table that holds one row per service: the claim of the proxy that is replacing the service's
+/// primary.
 inline constexpr std::string_view claims_table = "promotions";
 
-/// A row of that table.
+/// A row of the claims table. It reserves the replacement of one primary for one proxy.
 struct promotion_claim {
-    /// Name and incarnation of the proxy that holds the claim.
+    /// Name and incarnation (the process) of the proxy that holds the claim.
     std::string holder;
     /// The primary to be replaced; empty if none was known.
     std::string replaces;
     std::string successor;
-    /// Number of the claim among those of its holder, by which the holder recognises its own row.
+    /// Number of the claim among all claims of its holder. By this number, the holder recognises a
+    /// row that it wrote itself.
     std::uint64_t number{0};
     /// The store's clock when the claim was made.
     std::chrono::milliseconds at{0};
@@ -26,7 +28,8 @@
 
 [[nodiscard]] std::string encode(const promotion_claim& claim);
 
-/// Nothing if the text is not a claim, such as the value of a row that does not exist.
+/// Returns nullopt if the text is not a claim, such as the empty value of a row that does not
+/// exist.
 [[nodiscard]] std::optional<promotion_claim> decode_claim(std::string_view text);
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/registry_cache.cpp
+++ b/src/cornellever/cluster/registry_cache.cpp
@@ -12,7 +12,7 @@
             m_missing_since.erase(id);
             continue;
         }
-        // A draining server has announced its removal and gets no grace period.
+        // A draining server has announced its shutdown and gets no grace period.
         if (server.draining) {
             m_missing_since.erase(id);
             continue;
--- a/src/cornellever/cluster/registry_cache.hpp
+++ b/src/cornellever/cluster/registry_cache.hpp
@@ -11,9 +11,10 @@
 
 namespace cornellever::cluster {
 
-/// The backend servers in use: those registered, and for a grace period also those whose entry has
-/// disappeared. An entry expires even for a healthy server that cannot reach the store for a while;
-/// dropping the server at once would stop all writes although nothing is wrong with it.
+/// The backend servers in use: those that are registered, and for a grace period also those whose
+/// registry entry has disappeared. The entry of a healthy server expires too if the server cannot
+/// reach the store for a while; dropping the server immediately would stop all writes although it
+/// still works.
 class registry_cache {
 public:
     using time_point = boot_clock::time_point;
@@ -31,26 +32,27 @@
         m_effective.version = version;
     }
 
-    /// Drops the servers whose entry has been missing for longer than the grace period; returns
-    /// whether there were any.
+    /// Drops the servers whose entry has been missing for longer than the grace period. Returns
+    /// whether any server was dropped.
     bool expire(time_point now);
 
     [[nodiscard]] const routing::registry& effective() const noexcept { return m_effective; }
 
-    /// The servers in `effective` by service; valid until the next change.
+    /// Returns the servers of `effective` by service. The result is valid until the next change.
     [[nodiscard]] const routing::servers_by_service& by_service() const noexcept { return m_by_service; }
 
-    /// The registered servers without those in their grace period. Peers get these: a server that
-    /// one proxy retains must not look registered to another.
+    /// Returns only the registered servers, without those in their grace period. This is what peers
+    /// are sent, so that a server retained by one proxy does not look registered to another.
     [[nodiscard]] const routing::registry& registered() const noexcept { return m_registered; }
 
-    /// How long the entry of a server has been missing; nothing if it is present or the server is
-    /// unknown.
+    /// Returns how long a server's entry has been missing, or nullopt if the entry is present or
+    /// the server is unknown.
     [[nodiscard]] std::optional<std::chrono::milliseconds> missing_for(const std::string& id, time_point now) const;
 
 private:
-    /// Entries are back about 2 s after the store is. A server gets no new work 7 s after its entry
-    /// disappeared (the operators' drain time), which leaves room for requests in progress.
+    /// Entries are back about 2 s after an outage of the store ends, so the grace period must be
+    /// longer. A server must get no new work from 7 s after its entry disappeared (the operators'
+    /// drain time), and the period ends earlier than that to leave time for requests in progress.
     static constexpr std::chrono::milliseconds grace_period{4500};
 
     routing::registry m_registered;
--- a/src/cornellever/cluster/registry_reader.hpp
+++ b/src/cornellever/cluster/registry_reader.hpp
@@ -15,14 +15,15 @@
 
 namespace cornellever::cluster {
 
-/// Decodes the registry from the rows that servers write about themselves. Anybody may write there:
-/// a row that cannot be decoded is treated as missing, and the other rows are used. Each version of
-/// such a row is logged only once, since the whole table is decoded at every change.
+/// Decodes the registry from the rows that servers write about themselves. Since anybody can write
+/// to this table, a row that cannot be decoded is treated as missing and the other rows are used.
+/// The whole table is decoded at every change, so each version of an invalid row is logged only
+/// once.
 template <std::invocable<std::string_view, std::string_view> Decode>
 class registry_reader {
 public:
-    /// `decode` returns the server described by a row's key and value, or an error that says why it
-    /// is invalid.
+    /// `decode` returns the server described by a row's key and value, or an error that says why
+    /// the row is invalid.
     explicit registry_reader(Decode decode) : m_decode{std::move(decode)} {}
 
     [[nodiscard]] routing::registry read(const table_rows& rows, std::uint64_t version) {
@@ -47,7 +48,7 @@
         return out;
     }
 
-    /// Number of row versions rejected so far; readable from any thread.
+    /// Returns the number of row versions rejected so far. Can be called from any thread.
     [[nodiscard]] std::uint64_t refusals() const noexcept { return m_refusals; }
 
 private:
--- a/src/cornellever/cluster/snapshot.cpp
+++ b/src/cornellever/cluster/snapshot.cpp
@@ -30,13 +30,13 @@
     out.database = text_field(from, "database");
     out.service = text_field(from, "service");
     const auto reads = uint_field(from, "reads");
-    // An unknown consistency level is treated as the strictest.
+    // An unknown consistency level is treated as the strictest level.
     out.reads = reads <= 2 ? static_cast<routing::consistency>(reads) : routing::consistency::primary;
     out.statement_timeout = ms_field(from, "timeout_ms");
     out.target_latency = ms_field(from, "target_ms");
     out.max_staleness = ms_field(from, "staleness_ms");
     out.priority = static_cast<int>(rpc::optional_uint_field(from, "priority", routing::lowest_priority).value_or(0));
-    // Unless stated otherwise, a database requires a key.
+    // A database requires a key unless the snapshot says that it does not.
     out.keyless = from["keyless"].isBool() && from["keyless"].asBool();
     return out;
 }
@@ -61,8 +61,8 @@
     return out;
 }
 
-/// Keys are transferred as digests. A digest that belongs to two accounts is left out, because it
-/// is valid for neither.
+/// Reads the accounts and keys. Keys are transferred as digests. A digest that belongs to two
+/// accounts is left out, because it is valid for neither.
 result<accounts::directory> accounts_from(const Json::Value& items, const Json::Value& keys) {
     accounts::directory out;
     for (const auto& item : items) {
@@ -107,7 +107,7 @@
     return out;
 }
 
-/// No valid part of a snapshot is longer than this.
+/// Maximum uncompressed size of a part of a snapshot. No valid part is larger.
 constexpr std::size_t longest_part = std::size_t{64} * 1024 * 1024;
 
 Json::Value details_of(const routing::configuration& config) {
@@ -199,7 +199,7 @@
     return {uint_field(from, "version"), {.bytes = uint_field(from, "bytes"), .base64 = text_field(from, "packed")}};
 }
 
-/// Unpacks and reads the part called `name`.
+/// Decompresses and reads the part called `name`.
 template <typename Content>
 result<void> read_part(const packed_part& part, std::string_view name, Content& out) {
     const auto text = unpack(part.text, longest_part);
--- a/src/cornellever/cluster/store_watch.hpp
+++ b/src/cornellever/cluster/store_watch.hpp
@@ -12,45 +12,46 @@
 
 namespace cornellever::cluster {
 
-/// How a proxy keeps its copy of a metadata store table up to date: by long polls at the store, or
-/// from its peers.
+/// How a proxy keeps its copy of a metadata store table up to date: by long polls (queries that the
+/// store holds open until there are changes), or from its peers.
 struct watch_mode {
-    /// Whether it waits at the store for changes. Otherwise it gets them from its peers and queries
+    /// Whether the proxy long-polls the store. Otherwise it gets changes from its peers and queries
     /// the store only if they do not confirm its copy as current.
     bool polls_store{true};
-    /// With `polls_store`, the duration of one long poll. Otherwise, the greatest age of the peers'
-    /// last confirmation that the copy is current.
+    /// If `polls_store` is true, the duration of one long poll. Otherwise, the greatest allowed age
+    /// of the peers' last confirmation that the copy is current.
     std::chrono::milliseconds confirm_within{0};
-    /// Time for which peers confirmed the copy as current; the epoch if none did.
+    /// The latest time for which peers confirmed the copy as current; the epoch if none did.
     boot_clock::time_point confirmed_current_at{};
-    /// A peer holds a newer version than this proxy.
+    /// Whether a peer holds a newer version than this proxy.
     bool behind{false};
 };
 
-/// How the proxies share the work of following a table. Every store call is paid for and wakes a
-/// proxy, and the store limits the calls of all proxies together.
+/// How the proxies divide the polling of a table among themselves. Every store call costs money and
+/// wakes up a proxy, and the store limits the rate of all proxies' calls together. Proxies are
+/// ranked by `watch_rank`.
 struct watch_policy {
-    /// Duration of a long poll of the proxy of rank 0. It is short, because a connection that
-    /// silently broke is noticed when the poll ends; the other proxies then get from this one the
-    /// changes that their own connections missed.
+    /// Duration of a long poll of the proxy with rank 0. It is short because a connection that
+    /// broke silently is noticed only when the poll ends. The other proxies get from this proxy the
+    /// changes that their own broken connections did not deliver.
     std::chrono::milliseconds first{0};
     /// Duration of a long poll of the other proxies in a small cluster.
     std::chrono::milliseconds small_cluster{0};
-    /// Duration of a long poll of the other proxies that poll in a large cluster; their
-    /// confirmations keep the rest current.
+    /// Duration of a long poll of the other proxies that poll in a large cluster. The proxies that
+    /// do not poll rely on the confirmations of those that do.
     std::chrono::milliseconds large_cluster{0};
-    /// In a large cluster, the number of proxies that poll the store.
+    /// Number of proxies that poll the store in a large cluster.
     std::size_t max_readers{0};
-    /// In a large cluster, the proxies that do not poll query the store once the last confirmation
-    /// of their copy is older than this.
+    /// In a large cluster, a proxy that does not poll queries the store once the last confirmation
+    /// of its copy is older than this.
     std::chrono::milliseconds max_confirmation_age{0};
 };
 
-/// In a cluster of up to this many proxies, each one polls the store.
+/// In a cluster of at most this many proxies, every proxy polls the store.
 inline constexpr std::size_t small_cluster_size = 12;
 
-/// The rank of `self` among the proxies that reach the store. The order differs by table, so that
-/// the work is not always done by the same proxies.
+/// Returns the rank of the proxy `self` among the proxies that can reach the store. The order
+/// differs from table to table, so that the same proxies do not poll for all tables.
 [[nodiscard]] inline std::size_t watch_rank(std::string_view table, std::string_view self,
                                             std::span<const std::string> eligible) {
     const auto own_hash = stable_hash({table, "/", self});
@@ -59,7 +60,7 @@
     }));
 }
 
-/// The mode of the proxy of this rank in a cluster of `proxies` proxies.
+/// Returns the watch mode of the proxy with this rank in a cluster of `proxies` proxies.
 [[nodiscard]] constexpr watch_mode watch_mode_for(const watch_policy& policy, std::size_t rank, std::size_t proxies) {
     if (rank == 0) {
         return {.polls_store = true, .confirm_within = policy.first};
--- a/src/cornellever/cluster/successor.hpp
+++ b/src/cornellever/cluster/successor.hpp
@@ -12,28 +12,29 @@
 /// A replica's status when it was queried for a promotion.
 struct replica_report {
     std::string id;
-    /// The end of the log that it has received.
+    /// The end of the part of the log that the replica has received.
     sql::log_position received;
     bool draining{false};
-    /// It is the primary already: another proxy's promotion took effect.
+    /// True if the server is the primary already, because another proxy's promotion took effect.
     bool is_primary{false};
-    /// If false, it did not answer in time and the other fields are unknown.
+    /// False if the replica did not respond in time; `received` and `is_primary` are then unknown.
     bool answered{true};
 };
 
-/// Chooses the replica to promote: the one with the longest log among those that are not draining.
-/// A draining one is chosen only if the primary is lost and no other replica answered: after a
-/// planned handover it would have to be replaced within seconds, and each handover stops writes.
-/// Nothing if no replica is suitable.
+/// Chooses the replica to promote: the one with the longest log among those that are not draining
+/// (announced to shut down soon). A draining replica is chosen only if the primary is lost and no
+/// other replica responded: after a planned handover it would itself have to be replaced within
+/// seconds, and each handover stops writes. Returns nullopt if no replica is suitable.
 [[nodiscard]] std::optional<replica_report> choose_successor(std::span<const replica_report> replicas,
                                                              primary_verdict why);
 
-/// Whether a registered server that has not answered may hold the only log: all that answered are
-/// empty. Promoting one of those would roll back every commit.
+/// Returns whether a registered server that has not responded may hold the only log, because the
+/// logs of all servers that responded are empty. Promoting one of these would roll back every
+/// commit.
 [[nodiscard]] bool may_hold_only_log(std::span<const replica_report> replicas);
 
-/// Whether a primary has an empty log while another server has entries: it restarted without its
-/// data.
+/// Returns whether a primary has an empty log while another server's log has entries, which means
+/// that the primary restarted without its data.
 [[nodiscard]] bool lacks_entries_of(const replica_report& primary, std::span<const replica_report> others);
 
 } // namespace cornellever::cluster
--- a/src/cornellever/cluster/table_follower.hpp
+++ b/src/cornellever/cluster/table_follower.hpp
@@ -19,20 +19,21 @@
 /// Rows of a table by key.
 using table_rows = std::map<std::string, store_row, std::less<>>;
 
-/// Keeps a copy of a metadata store table up to date. Reads the whole table, then long-polls for
-/// changes or relies on peers, as its watch mode says; reads the whole table again if the change
-/// history was discarded. Retries after every failure.
+/// Keeps a copy of a metadata store table up to date. Reads the whole table, then either long-polls
+/// the store for changes or relies on peers, depending on its watch mode. Reads the whole table
+/// again if the store discarded the change history. Retries after every failure.
 template <metadata_store Store>
 class table_follower {
 public:
-    /// Receives the rows and the version of the last change to any of them; returns whether the
+    /// Called with all rows and the version of the last change to any of them. Returns whether the
     /// rows could be applied.
     using on_change = std::function<bool(const table_rows& rows, std::uint64_t version)>;
-    /// Receives a time at which the store confirmed the copy as current.
+    /// Called with a time for which the store confirmed the copy as current.
     using on_current = std::function<void(boot_clock::time_point at)>;
 
-    /// `mode` is called before each query. A broken connection that reports no error is detected
-    /// when the long poll that it set and the store client's call timeout have passed.
+    /// `mode` is called before each query and sets the duration of the long poll. A connection that
+    /// broke without an error is detected when this duration and the call timeout of the store
+    /// client have passed.
     table_follower(
         Store& store, std::string table, std::function<watch_mode()> mode, on_change changed,
         on_current current = [](boot_clock::time_point) {})
@@ -47,8 +48,8 @@
         for (;;) {
             co_await wait_until_query_needed();
             m_queried_at = boot_clock::now();
-            // After a failure the store is queried without waiting for changes; a long poll would
-            // delay noticing that it has recovered.
+            // After a failure, the store is queried without a long poll, so that its recovery is
+            // noticed immediately.
             const auto mode = m_mode();
             const auto wait = m_failures > 0 || !mode.polls_store ? std::chrono::milliseconds{0} : mode.confirm_within;
             auto got = co_await query(wait);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Whether the store answered the last query.
+    /// Returns whether the store responded to the last query.
     [[nodiscard]] bool reachable() const noexcept { return m_failures == 0 && m_version != 0; }
 
 private:
@@ -79,27 +80,29 @@
 
     static constexpr std::chrono::milliseconds peer_check_period{100};
 
-    /// Least time between two queries made because a peer holds a newer version; the peer may be
-    /// wrong.
+    /// Shortest time between two queries made because a peer claims to hold a newer version. The
+    /// claim may be wrong, so it must not cause a query every `peer_check_period`.
     static constexpr std::chrono::milliseconds min_query_interval{400};
 
-    /// Retry interval of a proxy that the store refuses while its peers keep its copy current. It
-    /// needs to know that the store answers it again only to take part in promotions in its regular
-    /// order, and without the store it does so 2 s later. If the store is down for all, this keeps
-    /// most proxies from querying it often: every attempt of every proxy counts as a call.
+    /// How often a proxy retries if the store refuses it while its peers keep its copy current. A
+    /// quick retry would gain little: the proxy only learns that it can take part in promotions in
+    /// the regular order again, and without the store it takes part 2 s later. If the store is down
+    /// for all proxies, this interval keeps most of them from querying it often; every attempt
+    /// counts as a call.
     static constexpr std::chrono::milliseconds unreachable_retry_interval{5000};
 
-    /// Spreads the queries of all proxies to a store that has just recovered.
+    /// Upper limit of the random delay that spreads the queries of all proxies to a store that has
+    /// just recovered.
     static constexpr std::chrono::milliseconds recovery_spread{500};
 
-    /// Waits as long as peers keep this proxy's copy current.
+    /// Waits until peers no longer keep this proxy's copy current.
     asio::awaitable<void> wait_until_query_needed() {
         while (relies_on_peers(m_mode())) {
             co_await sleep_for(peer_check_period);
         }
     }
 
-    /// Whether this proxy has the table, from the store or from a peer.
+    /// Returns whether this proxy has a copy of the table, from the store or from a peer.
     [[nodiscard]] bool has_copy(const watch_mode& mode) const {
         return m_loaded || mode.confirmed_current_at != boot_clock::time_point{};
     }
@@ -123,14 +126,15 @@
         return m_store.changes(m_table, m_version, wait);
     }
 
-    /// Records the time for which an answer confirms the copy. An answer reflects the store when it
-    /// was given: after the query arrived and, if a long poll ended without changes, after its full
-    /// duration. An answer with changes was given as soon as there were any, however late it
-    /// arrives.
+    /// Records the time for which a response confirms the copy as current. A response reflects the
+    /// store at the time it was sent: after the query arrived and, if a long poll ended without
+    /// changes, after its full duration. A response with changes was sent as soon as there were
+    /// any, even if it arrived late.
     void mark_current(std::chrono::milliseconds waited) {
         const auto now = boot_clock::now();
         m_current_at = std::max(m_current_at, now - m_queried_at >= waited ? m_queried_at + waited : m_queried_at);
-        // If the rows were rejected, an older copy is still in force and must not count as current.
+        // If the rows were rejected, an older copy is still in force, which must not count as
+        // current.
         if (m_applied) {
             m_current(m_current_at);
         }
@@ -158,8 +162,8 @@
         }
     }
 
-    /// Invalid rows must not end the follower loop: if an exception left it, this proxy would never
-    /// get another change.
+    /// Passes the rows to the callback; returns false if it throws. An exception must not end the
+    /// coroutine `run`, because this proxy would then never get another change.
     bool notify() {
         try {
             return m_changed(m_rows, m_last_change);
@@ -188,8 +192,8 @@
         }
     }
 
-    /// Doubles with each failure and is randomised, so that the proxies do not all query a
-    /// recovering store at once.
+    /// Returns the delay before the next attempt. The delay doubles with each failure and is
+    /// random, so that the proxies do not all query a recovering store at the same time.
     std::chrono::milliseconds next_backoff() {
         const auto mode = m_mode();
         if (!mode.polls_store && has_copy(mode)) {
@@ -211,18 +215,18 @@
     on_current m_current;
     table_rows m_rows;
     std::uint64_t m_version{0};
-    /// The newest version of a row. The store's own version also grows with changes to other
-    /// tables, and would look newer to peers that read this table earlier although nothing in it
-    /// changed.
+    /// The newest version of any row. The store's own version cannot be used, because it also grows
+    /// with changes to other tables: this copy would then look newer than that of peers that read
+    /// the table earlier, although nothing in the table changed.
     std::uint64_t m_last_change{0};
     bool m_loaded{false};
     bool m_applied{false};
     int m_failures{0};
     boot_clock::time_point m_queried_at{};
-    /// Time for which the store last confirmed the copy as current.
+    /// The latest time for which the store confirmed the copy as current.
     boot_clock::time_point m_current_at{};
-    /// Whether the copy was current nevertheless at the last failure, and when a proxy that relies
-    /// on its peers tries the store again.
+    /// Whether the copy was still current when the last query failed, and when a proxy that relies
+    /// on its peers queries the store again.
     bool m_was_current{false};
     boot_clock::time_point m_retry_at{};
     std::minstd_rand m_random{std::random_device{}()};
--- a/src/cornellever/cluster/table_freshness.hpp
+++ b/src/cornellever/cluster/table_freshness.hpp
@@ -13,16 +13,17 @@
 
 /// How fresh this proxy's copy of a table is: when the store or a peer last confirmed it as
 /// current, and the newest version that a peer is known to hold. Only a few proxies query the
-/// store; each heartbeat carries the age of the sender's last confirmation, so that the others can
-/// tell how far to trust their copies.
+/// store. Each heartbeat carries the age of the sender's last confirmation, from which the other
+/// proxies learn how recent their own copies are.
 class table_freshness {
 public:
     using time_point = boot_clock::time_point;
 
     void mark_current(time_point at) { m_current_at = std::max(m_current_at, at); }
 
-    /// Records that a peer holds `peer_version`, confirmed as current at `at`, while this proxy
-    /// holds `own_version`. An older version at the peer says nothing about this copy.
+    /// Records that a peer holds `peer_version`, confirmed as current at time `at`, while this
+    /// proxy holds `own_version`. If the peer's version is older, nothing follows for this proxy's
+    /// copy.
     void note_peer_version(std::uint64_t peer_version, std::uint64_t own_version, time_point at, time_point now) {
         if (peer_version > m_newest_at_peers) {
             m_newest_at_peers = peer_version;
@@ -34,25 +35,28 @@
     }
 
     /// Records the version in the store. It may be older than this proxy's copy if the store was
-    /// restored from an older copy of its data.
+    /// restored from a backup.
     void note_store_version(std::uint64_t version) noexcept { m_store_version = version; }
 
-    /// Whether an answer from the store that nothing changed confirms `own_version` as the newest.
-    /// It does not if the store lost that version, and possibly a newer one with it.
+    /// Returns whether a response of the store that nothing has changed confirms `own_version` as
+    /// the newest. It does not if the store was restored from a backup without that version,
+    /// because the store may have lost an even newer version too.
     [[nodiscard]] bool store_confirms(std::uint64_t own_version) const noexcept {
         return m_newest_at_peers <= own_version && m_store_version >= own_version;
     }
 
     [[nodiscard]] time_point confirmed_current_at() const noexcept { return m_current_at; }
 
-    /// Whether a peer has had a newer version for so long that it should have arrived here.
+    /// Returns whether a peer has had a newer version for so long that this proxy should have
+    /// received it.
     [[nodiscard]] bool behind(std::uint64_t own_version, time_point now) const noexcept {
         return m_newest_at_peers > own_version && now - m_newest_seen_at >= propagation_time;
     }
 
 private:
-    /// A peer of the same data centre is asked at once and one of another data centre after 1.2 s;
-    /// the answer takes milliseconds, or most of a second on a busy VM.
+    /// A new version is requested from a peer of the same data centre immediately and from a peer
+    /// of another data centre after 1.2 s. The response takes milliseconds, or most of a second on
+    /// a busy VM.
     static constexpr std::chrono::milliseconds propagation_time{1800};
 
     time_point m_current_at{};
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -27,21 +27,22 @@
 /// A peer's observation of one service's primary, with times on this proxy's clock.
 struct peer_observation {
     std::string service;
-    /// Empty if the peer does not reach it.
+    /// The primary's server id; empty if the peer cannot reach the primary.
     std::string primary;
     boot_clock::time_point leadership_confirmed_at;
     std::optional<routing::freshness_sample> sample;
-    /// The peer, and when the primary last answered it.
+    /// The peer, and when the primary last responded to the peer.
     session::proxy_node peer;
     boot_clock::time_point last_contact_at;
-    /// The server that the peer reports on, and the highest log position that it is known to have
-    /// reported as the primary.
+    /// The id of the server that the peer reports on, and the highest log position that this server
+    /// is known to have reported as the primary.
     std::string reported;
     std::optional<sql::log_position> highest_position;
 };
 
-/// The control plane's access to the traffic side: every call runs on the traffic thread, and its
-/// result is returned on the caller's. A model of `promotion_servers`.
+/// The control plane's access to the state of the traffic thread, which serves the client
+/// applications. Every call runs on the traffic thread and returns its result to the thread that
+/// made the call. A model of `promotion_servers`.
 template <routing::link_connector Connector>
 class traffic_bridge {
 public:
@@ -98,7 +99,7 @@
 private:
     using pool = typename traffic::pool;
 
-    /// Replies of the servers queried, filled in by one coroutine a server.
+    /// The replies of the queried servers, filled in by one coroutine per server.
     struct query_state {
         explicit query_state(const asio::any_io_executor& executor) : done{executor} {}
 
@@ -107,8 +108,8 @@
         asio::steady_timer done;
     };
 
-    /// A server that answers at all does so within a few round trips, unless long statements take
-    /// both of its slots.
+    /// A live server responds within a few round trips, unless long statements occupy both of its
+    /// statement slots.
     static constexpr std::chrono::milliseconds query_timeout{450};
     static constexpr std::chrono::milliseconds probe_period{50};
 
@@ -136,7 +137,7 @@
     asio::awaitable<std::vector<service_observation>> collect_observations() {
         std::vector<service_observation> out;
         for (const auto& [name, backends] : m_host.pools()) {
-            // An unused service has not been observed.
+            // This proxy observes only the services that it uses.
             if (!backends->used()) {
                 continue;
             }
@@ -155,7 +156,8 @@
                 report.received = status->received;
                 report.is_primary = status->is_primary;
             } else if (answer->position) {
-                // The server is too busy to give its status. What it has applied, it has received.
+                // The server is too busy to report its status. It has received at least the part of
+                // the log that it has applied.
                 report.received = *answer->position;
             }
         }
