--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -88,8 +88,8 @@
     [[nodiscard]] watch_mode watch_mode_of(cached_table what) const;
 
     /// Records that the store confirmed this proxy's copy of a table as current at time `at`. A
-    /// store restored from an older backup may confirm a configuration that peers know to be
-    /// superseded; such a confirmation is ignored.
+    /// store restored from a backup may confirm a configuration that peers know to be superseded;
+    /// such a confirmation is ignored.
     void mark_current(cached_table what, time_point at) {
         auto& freshness = m_freshness.at(index_of(what));
         if (what != cached_table::configuration || freshness.store_confirms(m_config.version)) {
@@ -240,8 +240,8 @@
     /// Number of live proxies listed in a gossip message. At six gossip exchanges per proxy and
     /// second, each of 64 proxies is mentioned about once a second.
     static constexpr std::size_t gossiped_peers = 6;
-    /// Maximum number of heartbeat questions remembered while they are unanswered. Answers to older
-    /// questions arrive too late to be of use.
+    /// Maximum number of recent heartbeat questions remembered, to which answers are matched.
+    /// Answers to older questions arrive too late to be of use.
     static constexpr std::size_t max_open_questions = 16;
     /// Maximum size of a message. A primary report takes about 60 bytes per service.
     static constexpr std::size_t max_message_bytes = 8192;
--- a/src/cornellever/cluster/control.ipp
+++ b/src/cornellever/cluster/control.ipp
@@ -97,7 +97,8 @@
     m_leaving = true;
     const auto removed = co_await m_store.remove(std::string{proxies_table}, m_settings.name);
     if (!removed) {
-        // The other proxies remove a silent proxy by themselves after a while.
+        // The shutdown continues: the other proxies also remove a proxy that leaves their questions
+        // unanswered.
         log_event(event::store_lost, "table=proxies reason=\"" + removed.error().message + "\"");
     }
 }
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -12,10 +12,11 @@
     const std::string table{proxies_table};
     const auto address = own_row();
     bool registered = false;
-    // A proxy that reads the table after this proxy's row was written finds this proxy, and this
-    // proxy finds the proxies whose rows were written before it reads the table, so no two proxies
-    // miss each other. After a restart the row exists already and is not written again: 195 rows
-    // written at the same time would take the store 0.8 s at 250 writes a second.
+    // A proxy that reads the table after this proxy's row was written finds this proxy. This proxy
+    // reads the table after writing its row and so finds every proxy whose row was written earlier.
+    // Hence no two proxies miss each other. After a restart the row exists already and is not
+    // written again: 195 rows written at the same time would take the store 0.8 s at 250 writes a
+    // second.
     bool in_table = !m_settings.first_start;
     bool added = false;
     while (!registered) {
--- a/src/cornellever/cluster/control_peers.ipp
+++ b/src/cornellever/cluster/control_peers.ipp
@@ -72,10 +72,10 @@
     send_questions(peers);
 }
 
-/// Returns the proxies that are allocated connections to these services. They have to be asked from
-/// the start, because a primary that any of them reaches is not lost. When a proxy discovered them
-/// only by chance, it knew one or two of six at a network partition 3 s after the first session,
-/// and had a replica promoted while the others went on writing to the primary.
+/// Returns the proxies that are allocated connections to these services. This proxy has to ask them
+/// from the start, because a primary that any of them reaches is not lost. A proxy that discovered
+/// them only by chance knew one or two of six when a network partition began 3 s after the first
+/// session, and had a replica promoted while the others went on writing to the primary.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 std::set<std::string, std::less<>>
 control<Store, Orders, Connector>::owners_of(const std::set<std::string, std::less<>>& services) const {
--- a/src/cornellever/cluster/control_primaries.ipp
+++ b/src/cornellever/cluster/control_primaries.ipp
@@ -62,8 +62,8 @@
     if (!m_store_reachable()) {
         return promotion_delay_step * (max_promotion_delay_steps + 2);
     }
-    // Only proxies that use the service can judge its primary. They are ordered by name, and this
-    // proxy waits one step for each of them before it.
+    // Only proxies that use the service can judge its primary. This proxy waits one step for each
+    // of them whose name sorts before its own.
     std::ptrdiff_t position = 0;
     for (const auto& name : m_members.eligible(boot_clock::now())) {
         const auto found = m_members.peers().find(name);
--- a/src/cornellever/cluster/counted_store.hpp
+++ b/src/cornellever/cluster/counted_store.hpp
@@ -17,12 +17,15 @@
     /// This proxy's own row in the proxies table was written or removed.
     own_row,
     first_reading,
+    /// The changes to a table were requested, usually with a long poll.
     waiting,
     /// A whole table was read again, because peers may have missed a change or because the table's
     /// change history was discarded.
     reading_again,
     /// Any call that followed a failed call on the same table.
     retry,
+    /// A single row was read or written conditionally, such as the claim row that reserves a
+    /// promotion for one proxy.
     claim,
 };
 
--- a/src/cornellever/cluster/membership.hpp
+++ b/src/cornellever/cluster/membership.hpp
@@ -43,7 +43,7 @@
 
 /// The peers to which the next heartbeat question is sent.
 struct heartbeat_targets {
-    /// Peers that use the same services.
+    /// Peers that use the same services as this proxy; in a small cluster, all peers.
     std::vector<asio::ip::udp::endpoint> service_peers;
     /// Other peers. The question to them and their answers also carry gossip about which proxies
     /// are alive.
@@ -180,8 +180,8 @@
     }
 
     /// Whether a proxy can be assumed to be alive without evidence from the last `alive_timeout`:
-    /// either it has left no question unanswered, or it was discovered too recently for any sign of
-    /// life to have arrived.
+    /// either it gave a sign of life within `removal_timeout` and has left no question unanswered,
+    /// or it was discovered too recently for any sign of life to have arrived.
     [[nodiscard]] static bool is_presumed_alive(const peer& item, time_point now) {
         if (item.alive_at == time_point{}) {
             return now - item.known_since < alive_timeout;
--- a/src/cornellever/cluster/primary_judge.cpp
+++ b/src/cornellever/cluster/primary_judge.cpp
@@ -8,27 +8,29 @@
 
 using std::chrono::milliseconds;
 
-/// How long a primary may be unreachable if its VM replied that no process listens on the port. The
-/// wait is short because such a refusal is strong evidence; it covers the case that the end of one
-/// connection arrives before the refusal of the next.
+/// How long a primary must be unreachable to count as down if its VM replied that no process
+/// listens on the port. The wait covers the case that the end of a connection arrives before that
+/// refusal. It can be short because the refusal shows that the VM itself can be reached.
 constexpr milliseconds refused_timeout{150};
 
-/// How long a primary may be unreachable without a refusal. Silence may also be caused by a lost
-/// packet, which TCP retransmits after 200 ms, or by a pause of this proxy's own VM.
+/// How long a primary must be unreachable to count as down without such a refusal. Silence may also
+/// be caused by a lost packet, which TCP retransmits after 200 ms, or by a pause of this proxy's
+/// own VM.
 constexpr milliseconds silence_timeout{500};
 
 /// A proxy that got a response from the primary within this time counts as reaching it: proxies
 /// query an otherwise idle primary five times a second.
 constexpr milliseconds recent_answer{450};
 
-/// A proxy that knows other proxies but has no report from any of them may itself be cut off from
-/// the network. It waits this long, so that the others, which would observe a real failure too, can
-/// act first.
+/// A proxy that knows other proxies but has no report on the primary from a live one may itself be
+/// cut off from the network. It waits this long, so that the others, which would observe a real
+/// failure too, can act first.
 constexpr milliseconds isolated_timeout{2500};
 
-/// The registry entry of a server disappears only after the server has missed three heartbeats, so
-/// a short wait is enough if the primary is also unreachable. Otherwise the limit is longer than
-/// the 2 s within which entries are back after an outage of the store itself.
+/// How long a primary's registry entry must be missing before the primary is replaced. If the
+/// primary is also unreachable, a short time is enough, because the server missed three heartbeats
+/// before its entry disappeared. Otherwise the time is longer than the 2 s within which entries are
+/// back after an outage of the store itself.
 constexpr milliseconds missing_and_unreachable{300};
 constexpr milliseconds missing_limit{2600};
 
--- a/src/cornellever/cluster/primary_judge.hpp
+++ b/src/cornellever/cluster/primary_judge.hpp
@@ -20,7 +20,8 @@
     bool log_lost{false};
 };
 
-/// The primary's entry in the server registry.
+/// The primary's entry in the server registry. `draining` is true if the server has announced that
+/// it stops soon.
 struct primary_entry {
     bool draining{false};
     /// How long the entry has been missing while the metadata store was reachable; nothing if the
--- a/src/cornellever/cluster/promotion.hpp
+++ b/src/cornellever/cluster/promotion.hpp
@@ -29,7 +29,8 @@
 /// Access to the servers of a service during a promotion.
 template <typename T>
 concept promotion_servers = requires(T servers, std::string text, std::chrono::milliseconds timeout) {
-    /// Returns a report on each registered server of a service, except the server given second.
+    /// Returns a report on each registered server of a service (first argument) except the old
+    /// primary (second argument).
     { servers.query_replicas(text, text) } -> std::same_as<asio::awaitable<std::vector<replica_report>>>;
     /// Returns whether a server confirms within `timeout` that it is the primary.
     { servers.is_primary_now(text, text, timeout) } -> std::same_as<asio::awaitable<bool>>;
@@ -183,10 +184,10 @@
         co_return "held_by_other";
     }
 
-    /// Checks again whether the old primary is lost. A network partition may have ended during the
-    /// attempt, so that the primary is healthy again: the evidence against it is older than the
-    /// claim, which took as long as the store was unreachable. Promoting a replica would then roll
-    /// back what others wrote to the primary meanwhile.
+    /// Checks again whether the old primary is lost. It may be healthy again because a network
+    /// partition ended: the evidence against it was collected before the claim was written, and
+    /// writing the claim may have taken as long as the store was unreachable. Promoting a replica
+    /// would then roll back what others wrote to the primary meanwhile.
     asio::awaitable<std::string> recheck(attempt& current) {
         if (current.why != primary_verdict::lost || current.old.empty()) {
             co_return "gone";
--- a/src/cornellever/cluster/promotion_claim.hpp
+++ b/src/cornellever/cluster/promotion_claim.hpp
@@ -14,7 +14,7 @@
 
 /// A row of the claims table. It reserves the replacement of one primary for one proxy.
 struct promotion_claim {
-    /// Name and incarnation (the process) of the proxy that holds the claim.
+    /// Name of the proxy that holds the claim, and the incarnation that identifies its process.
     std::string holder;
     /// The primary to be replaced; empty if none was known.
     std::string replaces;
@@ -22,7 +22,7 @@
     /// Number of the claim among all claims of its holder. By this number, the holder recognises a
     /// row that it wrote itself.
     std::uint64_t number{0};
-    /// The store's clock when the claim was made.
+    /// The time of the store's clock when the claim was made.
     std::chrono::milliseconds at{0};
 };
 
--- a/src/cornellever/cluster/registry_cache.hpp
+++ b/src/cornellever/cluster/registry_cache.hpp
@@ -26,7 +26,7 @@
     /// Replaces the registered servers.
     void apply(const routing::registry& registered, time_point now);
 
-    /// Sets a newer version for the same servers.
+    /// Sets the version of a newer registry that lists the same servers.
     void renumber(std::uint64_t version) {
         m_registered.version = version;
         m_effective.version = version;
@@ -38,7 +38,7 @@
 
     [[nodiscard]] const routing::registry& effective() const noexcept { return m_effective; }
 
-    /// Returns the servers of `effective` by service. The result is valid until the next change.
+    /// Returns the servers in `effective()` by service. The result is valid until the next change.
     [[nodiscard]] const routing::servers_by_service& by_service() const noexcept { return m_by_service; }
 
     /// Returns only the registered servers, without those in their grace period. This is what peers
--- a/src/cornellever/cluster/successor.hpp
+++ b/src/cornellever/cluster/successor.hpp
@@ -22,9 +22,10 @@
 };
 
 /// Chooses the replica to promote: the one with the longest log among those that are not draining
-/// (announced to shut down soon). A draining replica is chosen only if the primary is lost and no
-/// other replica responded: after a planned handover it would itself have to be replaced within
-/// seconds, and each handover stops writes. Returns nullopt if no replica is suitable.
+/// (have not announced that they stop soon). A draining replica is chosen only if the primary is
+/// lost and no other replica responded: after a planned handover it would itself have to be
+/// replaced within seconds, and each handover stops writes. Returns nullopt if no replica is
+/// suitable.
 [[nodiscard]] std::optional<replica_report> choose_successor(std::span<const replica_report> replicas,
                                                              primary_verdict why);
 
--- a/src/cornellever/cluster/table_follower.hpp
+++ b/src/cornellever/cluster/table_follower.hpp
@@ -80,8 +80,8 @@
 
     static constexpr std::chrono::milliseconds peer_check_period{100};
 
-    /// Shortest time between two queries made because a peer claims to hold a newer version. The
-    /// claim may be wrong, so it must not cause a query every `peer_check_period`.
+    /// Shortest time between two queries made because a peer reports a newer version. The report
+    /// may be wrong, so it must not cause a query every `peer_check_period`.
     static constexpr std::chrono::milliseconds min_query_interval{400};
 
     /// How often a proxy retries if the store refuses it while its peers keep its copy current. A
--- a/src/cornellever/cluster/table_freshness.hpp
+++ b/src/cornellever/cluster/table_freshness.hpp
@@ -13,8 +13,8 @@
 
 /// How fresh this proxy's copy of a table is: when the store or a peer last confirmed it as
 /// current, and the newest version that a peer is known to hold. Only a few proxies query the
-/// store. Each heartbeat carries the age of the sender's last confirmation, from which the other
-/// proxies learn how recent their own copies are.
+/// store. Each heartbeat carries the age of the sender's last confirmation, so that proxies that do
+/// not query the store learn whether their own copies are current.
 class table_freshness {
 public:
     using time_point = boot_clock::time_point;
@@ -22,8 +22,8 @@
     void mark_current(time_point at) { m_current_at = std::max(m_current_at, at); }
 
     /// Records that a peer holds `peer_version`, confirmed as current at time `at`, while this
-    /// proxy holds `own_version`. If the peer's version is older, nothing follows for this proxy's
-    /// copy.
+    /// proxy holds `own_version`. An older version at the peer neither confirms nor refutes that
+    /// this proxy's copy is current.
     void note_peer_version(std::uint64_t peer_version, std::uint64_t own_version, time_point at, time_point now) {
         if (peer_version > m_newest_at_peers) {
             m_newest_at_peers = peer_version;
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -42,7 +42,7 @@
 
 /// The control plane's access to the state of the traffic thread, which serves the client
 /// applications. Every call runs on the traffic thread and returns its result to the thread that
-/// made the call. A model of `promotion_servers`.
+/// made the call. Satisfies the concept `promotion_servers`.
 template <routing::link_connector Connector>
 class traffic_bridge {
 public:
