--- a/src/cornellever/session/active_session.hpp
+++ b/src/cornellever/session/active_session.hpp
@@ -12,37 +12,35 @@
 
 namespace cornellever::session {
 
-/// Whether a session can be closed without interrupting work. Used during a
-/// planned stop.
+/// Tells whether a session can be closed without interrupting a request or a transaction. Used while the proxy drains
+/// (a planned stop), and for relayed sessions whose primary this proxy no longer reaches.
 struct session_status {
-    /// No request is in progress and no transaction is open, so that closing the
-    /// connection interrupts nothing.
+    /// True if no request is in progress and no transaction is open.
     bool is_idle{false};
-    /// The proxy waits for the caller's next request, outside or inside a
-    /// transaction.
+    /// True while the proxy waits for the next request of the caller (the connected client application), outside or
+    /// inside a transaction.
     bool awaiting_request{false};
-    /// Closes it unless a request has arrived meanwhile.
+    /// Closes the caller's connection unless a request of the caller has already arrived.
     std::function<void()> close_if_no_input;
 };
 
-/// Where a session's statements are executed: at this proxy, at a proxy that
-/// owns the service's connections, or at a proxy that reaches the primary while
-/// this one does not.
+/// The proxy that executes a session's statements: `local` is this proxy, `connection_owner` is a proxy that holds
+/// connections to the service's servers, and `detour` is a proxy that reaches the primary while this proxy does not.
 enum class execution_site { local, connection_owner, detour };
 
-/// State of a session whose statements another proxy executes.
+/// State of a session whose statements are executed by another proxy (the peer).
 template <typename Relay>
 struct session_at_peer {
-    /// The session at the peer. Null before the first statement that has to be
-    /// executed, and after the connection to the peer was lost.
+    /// The session that this proxy opened at the peer. Null until the peer has to execute a statement, and again after
+    /// the connection to the peer was lost.
     std::unique_ptr<Relay> session{};
     std::string peer_name{};
     boot_clock::time_point opened_at{};
     /// Transaction state as reported to the caller.
     sql::transaction_state state{sql::transaction_state::idle};
-    /// A BEGIN that was acknowledged to the caller and not yet sent to the peer.
+    /// A BEGIN that this proxy has acknowledged to the caller but not yet sent to the peer.
     std::optional<sql::request> deferred_begin{};
-    /// The transaction under way has written.
+    /// True if the current transaction contains a write.
     bool wrote{false};
 
     [[nodiscard]] bool open() const { return session != nullptr && session->open(); }
@@ -55,14 +53,14 @@
     }
 };
 
-/// A session that is being served. The caller's values and prepared statements
-/// are kept at this proxy, so that the next operation can be executed anywhere.
+/// A session of a connected caller. This proxy keeps the session's values (set with SET) and prepared statements, so
+/// that any proxy can execute the next operation.
 template <routing::link_connector Connector>
 struct active_session {
     session_state state;
     std::optional<typename statement_engine<Connector>::transaction> open_transaction{};
     session_status status{};
-    /// Opened by another proxy on behalf of its caller.
+    /// True if another proxy opened this session on behalf of one of its callers.
     bool relayed{false};
     execution_site site{execution_site::local};
     session_at_peer<typename Connector::relay> at_peer{};
--- a/src/cornellever/session/caller.hpp
+++ b/src/cornellever/session/caller.hpp
@@ -15,18 +15,19 @@
 
 namespace cornellever::session {
 
-/// A request to open a session.
+/// A request to open a session. The caller that sends it is a client application connected to the proxy, or another
+/// proxy that relays a session.
 struct session_opening {
     std::string database;
-    /// Sent by another proxy on behalf of its caller. Such a session is not
-    /// relayed a second time.
+    /// True if another proxy sent this request on behalf of one of its callers. The session is then not relayed a
+    /// second time.
     bool relayed{false};
-    /// For relayed sessions: the position of the session's last commit.
+    /// The log position of the session's last commit; set only for relayed sessions.
     std::optional<sql::log_position> last_commit{};
     /// Digest of the caller's API key.
     accounts::key_digest key{};
-    /// For relayed sessions: the configuration version under which the relaying
-    /// proxy accepted the key.
+    /// For relayed sessions, the version of the configuration in force at the relaying proxy. This proxy waits briefly
+    /// for that version, since an older configuration may not contain the key.
     std::uint64_t config_version{0};
 };
 
@@ -35,17 +36,17 @@
     std::string why;
 };
 
-/// The caller ended its session or its connection was lost.
+/// The caller ended the session, or the connection to the caller was lost.
 struct caller_disconnected {};
 
-/// The caller sent nothing before the deadline passed to `next`.
+/// The caller sent nothing before the deadline that was passed to `caller_channel::next`.
 struct caller_timed_out {};
 
 using caller_event =
     std::variant<session_opening, sql::request, malformed_input, caller_disconnected, caller_timed_out>;
 
-/// The connection of one caller: `next` waits for input, `welcome` accepts and
-/// `refuse` rejects the session, `send` writes a reply.
+/// The connection of one caller. `next` waits for input until a deadline, `welcome` accepts the session, `refuse`
+/// rejects it, and `send` writes a reply.
 template <typename T>
 concept caller_channel = requires(T caller, boot_clock::time_point until, const sql::reply& answer,
                                   const sql::statement_error& error) {
--- a/src/cornellever/session/connection_ownership.hpp
+++ b/src/cornellever/session/connection_ownership.hpp
@@ -20,24 +20,24 @@
     friend bool operator==(const proxy_node&, const proxy_node&) = default;
 };
 
-/// Which proxies hold connections to a service's servers, and how many each of
-/// them holds to every server.
+/// The proxies that hold connections to a service's backend servers (the owners), and how many connections each owner
+/// holds to each server.
 struct connection_ownership {
-    /// Empty when every proxy holds connections.
+    /// Empty if every proxy is an owner.
     std::vector<proxy_node> owners;
     std::size_t connections_each{1};
-    /// Upper bound while requests wait whose account has no connection.
+    /// Maximum number of connections of an owner to each server while requests wait whose client account has no
+    /// connection.
     std::size_t connections_each_under_load{1};
 
     [[nodiscard]] bool owns(std::string_view proxy) const;
 };
 
-/// Allocates the `limit` connections that each server of a service accepts.
-/// Every proxy holds its own if there are two for each, or if there are few
-/// proxies; otherwise some proxies own all connections and the others relay
-/// their callers' sessions to them. Owners are chosen by rendezvous hashing:
-/// proxies with the same membership list choose the same owners, and a change
-/// of membership moves few of them.
+/// Divides the connections that each server of a service accepts (`limit`) among the proxies. Every proxy is an owner
+/// if each can hold at least two connections to a server, or if there are few proxies. Otherwise some proxies own all
+/// connections, and the other proxies relay their callers' sessions to the owners. Owners are chosen by rendezvous
+/// hashing, so that proxies with the same membership list choose the same owners and a membership change replaces few
+/// owners.
 [[nodiscard]] connection_ownership allocate_connections(std::string_view service, std::size_t limit,
                                                         std::span<const proxy_node> proxies);
 
--- a/src/cornellever/session/describe.hpp
+++ b/src/cornellever/session/describe.hpp
@@ -7,7 +7,7 @@
 
 namespace cornellever::session {
 
-/// State of the data plane as JSON, for state dumps.
+/// Returns the state of the data plane (sessions, accounts, connection pools) as JSON, for state dumps.
 template <routing::link_connector Connector>
 [[nodiscard]] Json::Value describe(traffic<Connector>& host) {
     const auto now = boot_clock::now();
--- a/src/cornellever/session/relay.hpp
+++ b/src/cornellever/session/relay.hpp
@@ -18,32 +18,31 @@
 
 namespace cornellever::session {
 
-/// A session at another proxy that this proxy opened on behalf of its caller.
+/// A session that this proxy opened at another proxy (the peer) on behalf of one of its callers (connected client
+/// applications).
 template <typename T>
 concept relayed_session = requires(T peer, const sql::request& request, boot_clock::time_point until) {
-    /// Sends a request and returns the peer's reply. The error is `not_sent` also
-    /// if the peer refused the session or a request that was pipelined before.
+    /// Sends a request and returns the peer's reply. The error is `not_sent` also if the peer refused the session or an
+    /// earlier pipelined request.
     { peer.run_request(request, until) } -> std::same_as<asio::awaitable<routing::link_reply>>;
-    /// Sends a request whose reply the caller already has, without waiting. The
-    /// next `run_request` checks that the peer accepted it. False if nothing was
-    /// sent.
+    /// Sends a request that this proxy has already answered, and does not wait for the peer's reply. The next
+    /// `run_request` checks that the peer accepted the request. Returns false if nothing was sent.
     { peer.pipeline(request) } -> std::same_as<bool>;
     { peer.open() } -> std::same_as<bool>;
     {peer.close()};
 };
 
-/// Request id of replayed statements. Peers accept only the callers' protocol,
+/// Request id of the statements that restore a session's state at a peer. Peers accept only the protocol for callers,
 /// in which every statement has an id.
 inline constexpr std::string_view replay_request_id = "replay";
 
-/// The statements that give a new session the values and prepared statements of
-/// `from`.
+/// Returns the statements that give a new session the values and prepared statements of `from`.
 [[nodiscard]] std::vector<sql::statement> replay_statements(const session_state& from);
 
-/// The reply to a request whose peer disconnected before it replied. The peer
-/// rolls back a transaction that was open there. The outcome is unknown for a
-/// commit, or a write outside a transaction, if `may_have_changed`: it was sent
-/// and may have taken effect. `state` is the transaction state before it.
+/// Returns the reply to a request whose peer disconnected before replying. The peer rolls back a transaction that was
+/// open in the session. The outcome of a commit, or of a write outside a transaction, is unknown if `may_have_changed`
+/// is true, which means that the request was sent and may have taken effect. `state` is the session's transaction state
+/// before the request.
 [[nodiscard]] inline sql::reply reply_after_peer_loss(const sql::request& request, sql::transaction_state state,
                                                       bool may_have_changed) {
     const bool commit = request.what.kind == sql::statement_kind::commit;
@@ -62,8 +61,8 @@
                    sql::transaction_state::failed);
 }
 
-/// The owners in the order in which a session tries them: those in the same data
-/// centre first, each group rotated by `session` to spread the load.
+/// Returns the connection owners in the order in which a session tries them: first the owners in `data_center`, then
+/// the others. Each group is rotated by `session` to spread the load.
 [[nodiscard]] std::vector<proxy_node> relay_order(const connection_ownership& ownership, std::string_view data_center,
                                                   std::uint64_t session);
 
--- a/src/cornellever/session/replies.hpp
+++ b/src/cornellever/session/replies.hpp
@@ -9,15 +9,15 @@
 
 namespace cornellever::session {
 
-/// A success reply that the proxy gives without asking a server. `state` is the
-/// session's transaction state after it.
+/// Returns a success reply that the proxy sends without asking a server. `state` is the session's transaction state
+/// after the request.
 [[nodiscard]] inline sql::reply acknowledged(sql::transaction_state state) {
     sql::reply out;
     out.state = state;
     return out;
 }
 
-/// An error reply. `state` is the session's transaction state after it.
+/// Returns an error reply. `state` is the session's transaction state after the request.
 [[nodiscard]] inline sql::reply refused(sql::refusal why, std::string text, sql::transaction_state state) {
     sql::reply out;
     out.error = sql::statement_error{why, std::move(text)};
@@ -25,8 +25,7 @@
     return out;
 }
 
-/// A reply to a request that did not run and may be retried after
-/// `retry_after`.
+/// Returns an error reply to a request that did not run and may be retried after `retry_after`.
 [[nodiscard]] inline sql::reply refused_for_now(std::string_view reason, std::chrono::milliseconds retry_after) {
     return refused(sql::refusal::overloaded,
                    std::string{reason} + "; retry after " + std::to_string(to_ms(retry_after)) + " ms",
--- a/src/cornellever/session/serve_settings.hpp
+++ b/src/cornellever/session/serve_settings.hpp
@@ -12,48 +12,46 @@
 
 namespace cornellever::session {
 
-/// Settings of the `serve` role, section `[serve]` of an INI file.
+/// Settings of a proxy process (`serve` role), read from the section `[serve]` of an INI file.
 struct serve_settings {
-    /// Unique among the proxies; kept across restarts on the same VM.
+    /// Name of the proxy, unique among the proxies and kept across restarts on the same VM.
     std::string name;
     std::string data_center;
-    /// Listens for callers.
+    /// Endpoint that accepts connections of callers (client applications).
     tcp::endpoint callers;
-    /// Answers the load balancer's readiness probes.
+    /// Endpoint that answers the load balancer's readiness probes.
     tcp::endpoint readiness;
-    /// Serves the configuration to other proxies.
+    /// Endpoint that serves the configuration to other proxies.
     tcp::endpoint peers;
-    /// Receives the heartbeats of other proxies.
+    /// Endpoint that receives the heartbeats of other proxies.
     tcp::endpoint heartbeats;
-    /// Heartbeat endpoints of proxies that may be running already.
+    /// Heartbeat endpoints of other proxies that may already be running.
     std::vector<tcp::endpoint> seeds;
-    /// The metadata store.
+    /// Endpoint of the metadata store.
     tcp::endpoint store;
-    /// The service that carries out promotions.
+    /// Endpoint of the service that carries out promotions (a replica becomes the primary).
     tcp::endpoint orders;
-    /// All proxies are started for the first time. This proxy's row can't be in
-    /// the store yet and is written without reading it first.
+    /// True if all proxies of the cluster are started for the first time. The store can't contain this proxy's row yet,
+    /// so the proxy writes its row without reading it first.
     bool first_start{false};
-    /// From SIGTERM until the process is killed.
+    /// Time from SIGTERM until the process is killed.
     std::chrono::seconds grace{6};
-    /// The time after which a revoked key must be refused by all proxies, also
-    /// by partitioned ones. Without a value only proxies that are connected to
-    /// the rest are bound to refuse it.
+    /// The time after which all proxies must refuse a revoked API key, including proxies that are partitioned from the
+    /// others. Without a value, only proxies that are connected to the others must refuse the key.
     std::optional<std::chrono::milliseconds> revocation{};
-    /// Receives datagrams of other proxies that request operations of the
-    /// accounts whose rate limits this one coordinates. Port 0 turns rate
-    /// limiting off.
+    /// Endpoint that receives datagrams in which other proxies request operations of the accounts whose rate limits
+    /// this proxy coordinates. Port 0 turns rate limiting off.
     asio::ip::udp::endpoint limits{};
-    /// The bound on operations beyond a rate limit.
+    /// How far an account may exceed its rate limit.
     limits::limit_bound limit_bound{};
-    /// debug, info, warning or error.
+    /// Lowest severity that is logged: debug, info, warning or error.
     std::string log_level{"info"};
-    /// Serves metrics as text. Port 0 turns them off.
+    /// Endpoint that serves metrics as text. Port 0 turns metrics off.
     tcp::endpoint metrics;
 };
 
-/// Reads settings from the INI text of `file`. Returns a finding, with its line,
-/// for every problem; `out` is complete only if there are none.
+/// Reads settings from `text`, the content of the INI file `file`, into `out`. Returns a finding with its line for
+/// every problem; `out` is complete only if there are no findings.
 [[nodiscard]] std::vector<ini::finding> read_serve_settings(std::string_view text, std::string_view file,
                                                             serve_settings& out);
 
--- a/src/cornellever/session/session_state.hpp
+++ b/src/cornellever/session/session_state.hpp
@@ -11,15 +11,15 @@
 
 namespace cornellever::session {
 
-/// A statement that a caller prepared. The name is the caller's own and is the
-/// key in `session_state::prepared`.
+/// A statement that a caller (a connected client application) prepared. The name that the caller chose is the key in
+/// `session_state::prepared`.
 struct prepared_statement {
     sql::access access_mode{sql::access::read};
     std::string shape;
 };
 
-/// State of a caller's session that outlives a statement. The proxy replays it
-/// on whichever backend connection runs the next statement.
+/// State of a caller's session that persists between statements. The proxy restores the values and prepared statements
+/// on the backend connection that runs the next statement.
 struct session_state {
     std::uint64_t id{0};
     std::string database;
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -17,14 +17,14 @@
 
 namespace cornellever::session {
 
-/// One execution of a statement, with its route and session.
+/// A statement to execute, with the session that sent it and the route of the session's database.
 struct statement_run {
     const routing::database_route& route;
-    /// Tells the request's account and whether the request is permitted.
+    /// Determines the request's client account and whether the request is permitted.
     const accounts::authorizer& authorizer;
     session_state& session;
     const sql::request& request;
-    /// For `execute`: the prepared statement. Null otherwise.
+    /// The prepared statement that an `execute` request names; null for other requests.
     const prepared_statement* prepared{nullptr};
     /// When the request was received.
     boot_clock::time_point arrival;
@@ -40,9 +40,9 @@
     }
 };
 
-/// Executes statements on backend servers, either in autocommit mode or in a
-/// transaction that is pinned to one connection. Retries statements on another
-/// server where that is safe: reads, and writes that certainly did not run.
+/// Executes statements on backend servers, either in autocommit mode or in a transaction that is pinned to one
+/// connection. Retries a statement on another server only if that is safe, which is the case for reads and for writes
+/// that certainly did not run.
 template <routing::link_connector Connector>
 class statement_engine {
 public:
@@ -51,17 +51,17 @@
     using entry = typename pool::entry;
     using time_point = boot_clock::time_point;
 
-    /// A caller's transaction. A connection is acquired for its first statement
-    /// and stays pinned until the transaction ends.
+    /// A transaction of a caller (a connected client application). A backend connection is acquired for the
+    /// transaction's first statement and stays reserved for the transaction (pinned) until the transaction ends.
     struct transaction {
         routing::database_route route;
         pool* backends{nullptr};
         bool read_only{false};
-        /// The log position that its replica had to have applied; empty if it
-        /// runs on the primary.
+        /// The floor of the transaction: the log position that a replica must have applied to run it. Empty if the
+        /// transaction runs on the primary.
         std::optional<sql::log_position> floor{};
         bool wrote{false};
-        /// Rolled back. Statements are refused until the caller ends it.
+        /// True if the transaction was rolled back. Its statements are refused until the caller ends the transaction.
         bool failed{false};
         lease pinned{};
     };
@@ -71,14 +71,14 @@
     /// Executes one statement outside a transaction.
     asio::awaitable<sql::reply> run_autocommit(pool& backends, const statement_run& run);
 
-    /// Executes a statement or the commit of a transaction.
+    /// Executes a statement inside a transaction, or the transaction's commit.
     asio::awaitable<sql::reply> run_in_transaction(transaction& tx, const statement_run& run);
 
     /// Rolls the transaction back and returns its connection to the pool.
     void roll_back_transaction(transaction& tx);
 
 private:
-    /// Whether the request has its reply or is executed again.
+    /// Whether the request has a final reply (`answered`) or is executed again (`retry`).
     enum class outcome { answered, retry };
 
     [[nodiscard]] static routing::time_limits time_limits_of(const statement_run& run);
@@ -119,15 +119,16 @@
                                                   const sql::reply& reply);
     void log_decision(event id, const statement_run& run, std::string_view server, std::string_view reason) const;
 
-    /// A read without a reply for this long is retried on another server. Twice
-    /// the time of the slowest normal read (110 ms of work behind a short queue).
+    /// A read without a reply for this long is retried on another server. This is twice the time of the slowest normal
+    /// read (110 ms of work behind a short queue).
     static constexpr std::chrono::milliseconds read_attempt_timeout{400};
 
-    /// Enough for opening a connection (30 ms) and a round trip to the primary,
-    /// or for a peer's reply.
+    /// How long a read waits for a freshness sample (a log position that the primary reported recently). This is enough
+    /// for opening a connection (30 ms) and a round trip to the primary, or for a peer's reply.
     static constexpr std::chrono::milliseconds max_sample_wait{120};
     static constexpr std::chrono::milliseconds sample_poll_interval{10};
-    /// About the time it takes to find the new primary after a promotion.
+    /// Retry delay sent to the caller when a server refused a request because it is not the primary. This is about the
+    /// time that it takes to find the new primary after a promotion.
     static constexpr std::chrono::milliseconds not_primary_retry_after{100};
 
     traffic_counters& m_counters;
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -29,15 +29,15 @@
 
 namespace cornellever::session {
 
-/// The furthest log position that a server reported while it was the primary.
+/// The highest log position that a server is reported to have reached while it was the primary.
 struct reported_position {
     std::string server;
     sql::log_position furthest;
 };
 
-/// The data plane of a proxy: the configuration in force, a connection pool for
-/// each service, and the open sessions. Sessions are executed at this proxy or
-/// relayed to another one. Used from the traffic thread only.
+/// The data plane of a proxy: the configuration in force, a connection pool for each service, and the open sessions of
+/// callers (connected client applications). A session's statements are executed by this proxy or relayed to another
+/// proxy. Used from the traffic thread only.
 template <routing::link_connector Connector>
 class traffic {
 public:
@@ -57,32 +57,30 @@
     /// Applies a newer configuration; an older or equal one is ignored.
     void update(routing::configuration config);
 
-    /// Applies the registered backend servers; an older registry is ignored.
+    /// Applies a registry of backend servers; a registry older than the current one is ignored.
     void update(routing::registry servers);
 
-    /// The configuration in force, or an older one, was confirmed current at
-    /// `at`. Extends the configuration lease.
+    /// Records that the configuration in force, or an older one, was confirmed to be current at the time `at`. This
+    /// extends the configuration lease.
     void confirm_configuration(boot_clock::time_point at) { m_gate.confirm_current(at); }
 
-    /// Sets the proxies that share each server's connections, including this
-    /// one; empty while they are not known yet. `complete` is whether the list
-    /// is known to contain all of them.
+    /// Sets the proxies that share each server's connections, including this proxy. The list is empty while the proxies
+    /// are not known yet. `complete` is true if the list is known to contain all proxies.
     void set_proxies(std::vector<proxy_node> proxies, bool complete = true);
 
     /// Turns rate limiting of accounts on.
     void set_operation_limits(operation_limits how) { m_limits = std::move(how); }
 
-    /// Records that `peer` received an answer of the service's primary at
-    /// `last_contact`.
+    /// Records that `peer` received a reply from the service's primary at `last_contact`.
     void record_primary_path(const std::string& service, const proxy_node& peer, boot_clock::time_point last_contact) {
         m_paths.record_contact(service, peer, last_contact);
     }
 
-    /// Records the log position of a primary that another proxy reported.
+    /// Records the log position that another proxy reported for a primary.
     void note_reported_position(const std::string& service, reported_position what);
 
-    /// Periodic maintenance of the pools, and of sessions whose path to the
-    /// primary is cut.
+    /// Performs the periodic maintenance: detects cut network paths to primaries, maintains the pools, and closes idle
+    /// relayed sessions whose primary this proxy does not reach.
     void tick() {
         update_paths();
         for (auto& [name, backends] : m_pools) {
@@ -95,21 +93,20 @@
     template <caller_channel Caller>
     asio::awaitable<void> serve(Caller caller);
 
-    /// Whether a configuration is known, which serving callers requires.
+    /// Whether a configuration is known. Without a configuration no session can be opened.
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
 
     /// From now on, sessions are closed after their next reply outside a
     /// transaction.
     void close_after_answer() { m_close_after_answer = true; }
 
-    /// Closes all idle sessions; from now on, others are closed once idle.
+    /// Closes all idle sessions. From now on, every other session is closed as soon as it is idle.
     void close_idle_sessions();
 
     /// Closes the sessions that are idle in a transaction.
     void close_idle_in_transaction();
 
-    /// From now on, open transactions are rolled back at their next statement,
-    /// unless it is the commit.
+    /// From now on, open transactions are rolled back at their next statement, unless that statement is the commit.
     void abort_transactions() { m_abort_transactions = true; }
 
     [[nodiscard]] std::size_t sessions() const noexcept { return m_sessions.size(); }
@@ -119,7 +116,7 @@
     [[nodiscard]] const traffic_counters& counters() const noexcept { return m_counters; }
     [[nodiscard]] std::map<std::string, std::unique_ptr<pool>, std::less<>>& pools() noexcept { return m_pools; }
 
-    /// The pool of a service, created on first use.
+    /// Returns the connection pool of a service and creates it on first use.
     [[nodiscard]] pool& pool_for(const std::string& service);
 
 private:
@@ -169,30 +166,32 @@
     [[nodiscard]] static sql::transaction_state state_of(const active_session& active);
     [[nodiscard]] boot_clock::time_point request_deadline(const active_session& active) const;
 
-    /// A session without an open transaction may stay idle practically forever.
+    /// Idle time after which a session without an open transaction is closed; practically unlimited.
     static constexpr std::chrono::hours idle_session_limit{24};
-    /// The peer's kernel accepts a connection within a round trip.
+    /// Timeout for opening a session at a peer. The peer's kernel accepts a connection within a round trip.
     static constexpr std::chrono::milliseconds peer_connect_timeout{100};
-    /// Peers that are tried for one operation. Its caller waits meanwhile, with
-    /// a target latency of 120 ms.
+    /// Number of peers that are tried for one operation. The caller waits during the attempts, and the target latency
+    /// is 120 ms.
     static constexpr std::size_t max_peer_attempts = 2;
-    /// A peer that refused or lost a session is tried last for this long. A
-    /// process that was stopped restarts sooner, but other peers serve meanwhile.
-    /// A peer behind a cut path costs a caller `peer_connect_timeout` per try.
+    /// How long a peer that refused or lost a session is tried only after the other peers. A stopped peer restarts
+    /// sooner, but the other peers serve its sessions until then. A peer behind a cut network path costs a caller
+    /// `peer_connect_timeout` per attempt.
     static constexpr std::chrono::milliseconds peer_backoff{5000};
-    /// Measured from the start of the process. Twice the time that the slowest
-    /// of 88 small VMs took to load 1,346 databases when all were started
-    /// together (0.48 s). Callers give up opening a session after 2 s.
+    /// How long the opening of a session waits for the first configuration, measured from the start of the process.
+    /// This is twice the time that the slowest of 88 small VMs took to load 1,346 databases when all VMs were started
+    /// together (0.48 s). Callers abandon the opening of a session after 2 s.
     static constexpr std::chrono::milliseconds max_configuration_wait{1000};
-    /// Callers give up opening a session after 2 s.
+    /// How long a request waits for the list of proxies. Callers abandon the opening of a session after 2 s.
     static constexpr std::chrono::milliseconds max_membership_wait{1000};
-    /// A configuration reaches all proxies within several heartbeats.
+    /// How long the opening of a relayed session waits for the relaying proxy's version of the configuration. A
+    /// configuration reaches all proxies within several heartbeats.
     static constexpr std::chrono::milliseconds max_version_wait{300};
-    /// The path to a primary counts as cut after this time without an answer, if
-    /// peers still reach the primary. The primary is polled at least five times a
-    /// second, and a connection that the network dropped is detected in 0.7 s.
+    /// The network path to a primary counts as cut after this time without a reply from the primary, if peers still
+    /// reach the primary. The primary is polled at least five times a second, and a connection that the network dropped
+    /// is detected in 0.7 s.
     static constexpr std::chrono::milliseconds primary_silence_limit{600};
-    /// Added to the statement's timeout, which the peer enforces itself.
+    /// How much longer than the statement's timeout this proxy waits for a peer's reply. The peer itself enforces the
+    /// statement's timeout.
     static constexpr std::chrono::milliseconds peer_reply_slack{300};
 
     asio::any_io_executor m_executor;
@@ -203,9 +202,9 @@
     routing::registry m_registry;
     std::vector<proxy_node> m_proxies;
     primary_paths m_paths;
-    /// When a proxy last refused or lost a session, by its name.
+    /// When each peer last refused or lost a session, by the peer's name.
     std::map<std::string, boot_clock::time_point, std::less<>> m_peer_failures;
-    /// By service; computed on first use.
+    /// The connection owners of each service, by service name; computed on first use.
     std::map<std::string, connection_ownership, std::less<>> m_ownership;
     traffic_counters m_counters;
     accounts::authorizer m_gate;
@@ -215,7 +214,7 @@
     /// arrives.
     asio::steady_timer m_configuration_due;
     std::map<std::string, std::unique_ptr<pool>, std::less<>> m_pools;
-    /// By service, for pools that are not created yet.
+    /// Reported log positions for services without a pool yet, by service name.
     std::map<std::string, reported_position, std::less<>> m_reported_positions;
     std::set<active_session*> m_sessions;
     std::uint64_t m_last_session_id{0};
--- a/src/cornellever/session/traffic_counters.hpp
+++ b/src/cornellever/session/traffic_counters.hpp
@@ -20,8 +20,8 @@
     std::uint64_t statements_retried{0};
     std::uint64_t transactions_opened{0};
     std::uint64_t transactions_rolled_back{0};
-    /// Operations refused because the account's rate limit was used up, and
-    /// those refused because no coordinator of the limit answered.
+    /// Operations refused because the account's rate limit was used up (`over_limit_refusals`), or because no
+    /// coordinator of the limit (a proxy that grants the account's operations) replied (`unknown_limit_refusals`).
     std::uint64_t over_limit_refusals{0};
     std::uint64_t unknown_limit_refusals{0};
     /// Indexed by `sql::refusal`.
