--- a/src/cornellever/config/ini_text.hpp
+++ b/src/cornellever/config/ini_text.hpp
@@ -6,8 +6,8 @@
 
 namespace cornellever::config {
 
-/// Writes the configuration as one INI file that parses to the same configuration. `ctl fetch` hands it to an operator
-/// for editing.
+/// Returns the configuration as the text of one INI file that parses to the same configuration. `ctl fetch` gives this
+/// text to an operator for editing.
 [[nodiscard]] std::string to_ini(const cluster& config);
 
 } // namespace cornellever::config
--- a/src/cornellever/config/json.cpp
+++ b/src/cornellever/config/json.cpp
@@ -113,8 +113,8 @@
 } // namespace
 
 result<cluster> from_json(const Json::Value& value) {
-    // A malformed row in the store must not terminate the process: jsoncpp throws when a field does not have the
-    // requested type.
+    // jsoncpp throws if a field does not have the requested type. The exception is caught because a malformed row in
+    // the store must not terminate the process.
     try {
         return cluster_from_json(value);
     } catch (const Json::Exception& problem) {
--- a/src/cornellever/config/json.hpp
+++ b/src/cornellever/config/json.hpp
@@ -7,10 +7,11 @@
 
 namespace cornellever::config {
 
-/// The configuration as the JSON stored in the platform's table.
+/// Returns the configuration as the JSON that is stored in the platform's table.
 [[nodiscard]] Json::Value to_json(const cluster& config);
 
-/// Reads the stored JSON; `bad_request` describes the first malformed field.
+/// Reads the configuration from the stored JSON. Returns the error `bad_request`, which describes the first malformed
+/// field, if the JSON is invalid.
 [[nodiscard]] result<cluster> from_json(const Json::Value& value);
 
 } // namespace cornellever::config
--- a/src/cornellever/config/load.cpp
+++ b/src/cornellever/config/load.cpp
@@ -21,15 +21,15 @@
 constexpr std::int64_t min_transaction_idle_ms = 100;
 constexpr std::int64_t max_transaction_idle_ms = 3'600'000;
 
-/// Collects findings while the configuration is built.
+/// Builds the configuration from INI entries and collects the findings (problems in the input).
 class builder {
 public:
     explicit builder(load_result& out) : m_out{out} {}
 
     void add(const ini::entry& item) {
         if (item.key.find_first_of(" \t") != std::string::npos) {
-            // INI also splits at ':', so "address 127.0.0.1:7101" parses as the key "address 127.0.0.1". The message
-            // points to the missing '='.
+            // The INI parser also splits a line at ':', so "address 127.0.0.1:7101" parses as the key "address
+            // 127.0.0.1". The message points to the missing '='.
             report(item.where, "'" + item.key + ":" + item.value + "' is not key = value: is '=' missing?");
             return;
         }
@@ -85,7 +85,8 @@
         m_out.findings.push_back(ini::finding{where, std::move(message)});
     }
 
-    /// Reports a key that one file sets twice; a later file may override it.
+    /// Returns whether the same file has not set the key before, and reports a finding if it has. A later file may
+    /// override a key of an earlier file.
     bool is_first_assignment(const ini::entry& item) {
         const auto key = item.section + "\n" + item.key;
         const auto [found, inserted] = m_assigned.emplace(key, item.where);
@@ -98,7 +99,7 @@
         return true;
     }
 
-    /// Reports each of `names` that is not a valid name.
+    /// Reports a finding for each item of `names` that is not a valid name.
     void check_names(const ini::origin& where, std::string_view what, std::span<const std::string> names) {
         for (const auto& name : names) {
             if (!is_name(name)) {
@@ -167,7 +168,7 @@
     void add_instance_key(const std::string& name, const ini::entry& item) {
         instance_path path;
         if (!split_instance_path(name, path)) {
-            return; // check_section reports it once, for the header
+            return; // check_section reports the invalid name once, for the section header
         }
         auto& pending = m_instances[name];
         if (pending.value.name.empty()) {
--- a/src/cornellever/config/load.hpp
+++ b/src/cornellever/config/load.hpp
@@ -8,7 +8,7 @@
 
 namespace cornellever::config {
 
-/// A valid configuration, or all findings for which it is rejected.
+/// A valid configuration, or all findings (problems in the input) for which the configuration is rejected.
 struct load_result {
     cluster config;
     std::vector<ini::finding> findings;
@@ -16,11 +16,11 @@
     [[nodiscard]] bool ok() const noexcept { return findings.empty(); }
 };
 
-/// Validates a merged INI document and builds the cluster configuration. All findings are collected; a configuration
-/// with any finding is rejected as a whole.
+/// Validates an INI document that was merged from one or more files, and builds the cluster configuration. All findings
+/// are collected; a configuration with any finding is rejected as a whole.
 [[nodiscard]] load_result from_document(const ini::document& document);
 
-/// Reads and validates the INI files of a folder, merged in the order of their names.
+/// Reads and validates the INI files of a folder, merged in the order of their file names.
 [[nodiscard]] load_result load_folder(const std::filesystem::path& folder);
 
 } // namespace cornellever::config
--- a/src/cornellever/config/model.hpp
+++ b/src/cornellever/config/model.hpp
@@ -11,8 +11,8 @@
 /// Default staleness bound of replica reads, in milliseconds.
 inline constexpr std::int64_t default_max_staleness_ms = 1000;
 
-/// Default time in milliseconds that a read waits for a replica to catch up with its session before it goes to the
-/// primary.
+/// Default time in milliseconds that a read waits for a replica to apply the session's last write before the read goes
+/// to the primary.
 inline constexpr std::int64_t default_replica_wait_ms = 30;
 
 /// Default time in milliseconds after which an idle transaction is rolled back.
@@ -21,7 +21,7 @@
 /// Default maximum number of connections to one backend instance.
 inline constexpr int default_connections = 16;
 
-/// One backend server of a database; its zone is the data centre that it runs in.
+/// One backend server of a database. `zone` is the data centre that the server runs in.
 struct instance {
     std::string name;
     std::string zone;
@@ -29,8 +29,8 @@
     int connections{default_connections};
 };
 
-/// One database of a service and its instances. Which instance is the primary is never configured: the instances
-/// report it themselves.
+/// One database of a service and its instances (backend servers). Which instance is the primary is never configured,
+/// since the instances report it themselves.
 struct database {
     std::string name;
     std::vector<instance> instances;
@@ -41,18 +41,18 @@
     std::string name;
     /// Staleness bound of replica reads.
     std::chrono::milliseconds max_staleness{default_max_staleness_ms};
-    /// How long a read waits for a replica to apply the session's last write before it goes to the primary.
+    /// How long a read waits for a replica to apply the session's last write before the read goes to the primary.
     std::chrono::milliseconds replica_wait{default_replica_wait_ms};
     /// Idle time after which a transaction is rolled back.
     std::chrono::milliseconds transaction_idle{default_transaction_idle_ms};
-    /// Kinds of request that must not be executed twice: callers must send a request id with them, and each id takes
-    /// effect at most once.
+    /// Kinds of request that must not be executed twice. Callers (client applications) must send a request id with such
+    /// a request, and requests with the same id take effect at most once.
     std::vector<std::string> non_repeatable;
     std::vector<database> databases;
 };
 
-/// The whole configuration that proxies follow. The platform's table assigns `version` when the configuration is
-/// applied; it is 0 before that.
+/// The whole configuration that the proxies apply. The platform's table, in which the configuration is stored, assigns
+/// `version` when the configuration is applied; before that, `version` is 0.
 struct cluster {
     std::uint64_t version{0};
     std::string name;
@@ -60,10 +60,10 @@
     std::vector<service> services;
 };
 
-/// The service named `name`, or null.
+/// Returns the service named `name`, or null if there is none.
 [[nodiscard]] const service* find_service(const cluster& config, std::string_view name);
 
-/// The database named `name` of `owner`, or null.
+/// Returns the database named `name` of the service `owner`, or null if there is none.
 [[nodiscard]] const database* find_database(const service& owner, std::string_view name);
 
 } // namespace cornellever::config
--- a/src/cornellever/config/parsing.hpp
+++ b/src/cornellever/config/parsing.hpp
@@ -19,10 +19,11 @@
 /// Splits a comma-separated list; blanks around items are removed, empty items skipped.
 [[nodiscard]] std::vector<std::string> split_list(std::string_view text);
 
-/// Whether `text` is a valid name: letters, digits, '.', '_' and '-' are safe in keys, section headers and logs.
+/// Whether `text` is a valid name: not empty, and made of letters, digits, '.', '_' and '-', which are safe in keys,
+/// section headers and logs.
 [[nodiscard]] bool is_name(std::string_view text);
 
-/// Parses a decimal integer; false when `text` is not one.
+/// Parses a decimal integer into `out`. Returns false if `text` is not a decimal integer.
 [[nodiscard]] bool parse_int(std::string_view text, std::int64_t& out);
 
 /// The parts of an instance name `service/database/instance`.
@@ -32,7 +33,7 @@
     std::string instance;
 };
 
-/// Splits an instance name; false unless it has exactly three parts that are not empty.
+/// Splits an instance name into `out`. Returns false unless the name has exactly three parts that are not empty.
 [[nodiscard]] bool split_instance_path(std::string_view text, instance_path& out);
 
 } // namespace cornellever::config
--- a/src/cornellever/ini/document.hpp
+++ b/src/cornellever/ini/document.hpp
@@ -5,7 +5,8 @@
 
 namespace cornellever::ini {
 
-/// The source of a line: file name as passed by the caller, and 1-based line number.
+/// The source of a line: the name of the file, and the line number counted from 1. Line 0 stands for the whole file or
+/// folder.
 struct origin {
     std::string file;
     int line{0};
@@ -25,8 +26,8 @@
     std::string message;
 };
 
-/// The entries of one or more INI files in reading order, and all syntax errors. `sections` holds every section
-/// header, so that an empty section can be reported as well.
+/// The entries of one or more INI files in reading order, and all findings. `sections` holds every section header, so
+/// that an empty section can be reported as well.
 struct document {
     std::vector<entry> entries;
     std::vector<entry> sections;
--- a/src/cornellever/ini/reader.cpp
+++ b/src/cornellever/ini/reader.cpp
@@ -12,10 +12,12 @@
 
 namespace {
 
-/// The longest line that fits inih's buffer: INI_MAX_LINE less the line end.
+/// The longest line that fits the buffer of inih, the INI parser library: INI_MAX_LINE (200) minus the line terminator
+/// and the terminating null character.
 constexpr std::size_t max_line_bytes = 198;
 
-/// Line source for inih: an optional synthetic header that restores the current section, then `lines` from `next` on.
+/// Line source for inih. It supplies an optional synthetic section header, which restores the current section after a
+/// syntax error, and then `lines` from index `next` on.
 struct line_feed {
     const std::vector<std::string>* lines{nullptr};
     std::size_t next{0};
@@ -68,12 +70,13 @@
         return {};
     }
     auto name = std::string{line.substr(first + 1, close - first - 1)};
-    // inih cuts a line at an inline comment, so it sees no closing bracket.
+    // inih cuts a line at an inline comment, so a header with a comment before the closing bracket is not a header for
+    // inih.
     const bool has_comment = name.find(" ;") != std::string::npos || name.find("\t;") != std::string::npos;
     return has_comment ? std::string{} : name;
 }
 
-/// Why inih cannot parse a line unaltered; empty when it can.
+/// Returns the reason why inih can't parse a line without altering it; empty if inih can parse the line.
 std::string_view unreadable_reason(std::string_view line) {
     if (line.size() > max_line_bytes) {
         return "the line is too long";
@@ -151,7 +154,7 @@
             append_entries_before(pass, lines.size(), into);
             return;
         }
-        // inih counts the synthetic header as a line of its own.
+        // inih counts the synthetic header as the first line.
         const std::size_t first_line = section.empty() ? 1 : 2;
         if (static_cast<std::size_t>(failed_at) < first_line) {
             // inih rejected the synthetic header itself: retry without it.
@@ -160,7 +163,8 @@
         }
         const auto offset = static_cast<std::size_t>(failed_at) - first_line;
         const auto bad = start + offset;
-        // inih continues after the error; the next pass parses the following lines again.
+        // inih continues after a syntax error, but the next pass parses the lines after the error again. Only the
+        // entries before the error are taken from this pass.
         append_entries_before(pass, bad, into);
         if (bad >= lines.size()) {
             return;
--- a/src/cornellever/session/connection_ownership.cpp
+++ b/src/cornellever/session/connection_ownership.cpp
@@ -13,18 +13,17 @@
 
 namespace {
 
-/// Connections of an owner to each server. With two, a statement can run on one
-/// while the other is held by a transaction that is idle between statements.
+/// Number of connections that an owner (a proxy that holds connections for others) has to each server. With two, a
+/// statement can run on one connection while a transaction that is idle between statements holds the other.
 constexpr std::size_t connections_per_owner = 2;
 
-/// Maximum number of owners of one service's connections. The loss of one moves
-/// an eighth of the sessions. More owners would only send more concurrent
-/// statements to servers that run two at a time, and more heartbeats, since each
-/// owner polls all others.
+/// Maximum number of owners of one service's connections. With eight owners, the loss of one moves an eighth of the
+/// sessions to other owners. More owners would only send more concurrent statements to servers that run two at a time,
+/// and more heartbeats, since each owner polls all others.
 constexpr std::size_t max_owners = 8;
 
-/// With fewer proxies than this, the extra hop of a relay costs more than a
-/// second connection for each proxy gains.
+/// Minimum number of proxies for which only some proxies own the connections. With fewer proxies, the extra hop of a
+/// relayed session costs more than a second connection for each owner gains.
 constexpr std::size_t min_sharing_proxies = 12;
 
 } // namespace
@@ -53,7 +52,7 @@
         std::ranges::sort(nodes, {}, &ranked_node::first);
     }
     connection_ownership out;
-    // Round-robin over the data centres, so that sessions find a nearby owner.
+    // Owners are chosen round-robin over the data centres, so that sessions find an owner nearby.
     for (std::size_t rank = 0; out.owners.size() < owner_count; ++rank) {
         for (const auto& [data_center, nodes] : by_data_center) {
             if (rank < nodes.size() && out.owners.size() < owner_count) {
--- a/src/cornellever/session/serve_settings.cpp
+++ b/src/cornellever/session/serve_settings.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Parses a value into the settings; returns the problem if it is invalid.
+/// Parses a value into the settings. Returns a description of the problem if the value is invalid.
 using setting_parser = std::function<std::optional<std::string>(const std::string&, serve_settings&)>;
 
 setting_parser text_parser(std::string serve_settings::*member) {
@@ -48,7 +48,7 @@
     return std::nullopt;
 }
 
-/// An empty value means no bound.
+/// Parses the time after which all proxies must refuse a revoked key. An empty value means that there is no such time.
 std::optional<std::string> read_revocation(const std::string& value, serve_settings& out) {
     constexpr long min_ms = 1000;
     constexpr long max_ms = 3'600'000;
@@ -189,7 +189,7 @@
             out += text.substr(open);
             break;
         }
-        // Section tags are dropped; the text between them is kept.
+        // Section tags (`{{#name}}`, `{{^name}}`, `{{/name}}`) are dropped; the text between them is kept.
         const auto tag = text.substr(open + 2, close - open - 2);
         if (tag.starts_with('#') || tag.starts_with('/') || tag.starts_with('^')) {
             text = text.substr(close + 2);
--- a/src/cornellever/session/statement_engine.ipp
+++ b/src/cornellever/session/statement_engine.ipp
@@ -11,7 +11,8 @@
                       " aim_ms=" + std::to_string(run.route.target_latency.count()));
 }
 
-/// The position that a replica had to have applied, and the one it had reached.
+/// Returns the log position that a replica had to have applied (the floor) and the position that the replica had
+/// reached, as text for the log.
 template <routing::link_connector Connector>
 std::string statement_engine<Connector>::describe_lag(const std::optional<sql::log_position>& floor,
                                                       const sql::reply& reply) {
@@ -40,8 +41,8 @@
     out.primary = needs_primary || run.route.reads == routing::consistency::primary;
     if (!out.primary) {
         out.floor = backends.floor().floor(run.arrival, run.route.max_staleness, run.session.last_commit);
-        // Without a recent freshness sample no replica is known to be within the
-        // staleness bound; the primary always is once it confirms leadership.
+        // Without a recent freshness sample (a log position that the primary reported), no replica is known to be
+        // within the staleness bound. The primary always is within the bound once it confirms its leadership.
         out.primary = !out.floor.has_value();
     }
     return out;
@@ -53,10 +54,9 @@
             run.route.target_latency};
 }
 
-/// Waits for a freshness sample, which a proxy that has just started does not
-/// have. A sample costs a round trip and no execution slot of the primary. If all
-/// reads went to the primary instead, its slots would be taken for seconds, by
-/// many proxies at once after an outage.
+/// Waits for a freshness sample, which a proxy that has just started does not have. A sample costs a round trip and no
+/// execution slot of the primary. If all reads went to the primary instead, they would occupy its execution slots for
+/// seconds, especially after an outage, when many proxies start at the same time.
 template <routing::link_connector Connector>
 asio::awaitable<void> statement_engine<Connector>::await_sample(pool& backends, const statement_run& run,
                                                                 bool needs_primary) {
@@ -74,8 +74,8 @@
 std::optional<sql::reply> statement_engine<Connector>::admit(pool& backends, const statement_run& run,
                                                              routing::connection_request& pool_request) {
     if (pool_request.primary && backends.path_cut()) {
-        // The cut is not expected to end soon, and the caller's retry may arrive
-        // at a proxy that reaches the primary.
+        // The retry delay is 0 because the network path is not expected to recover soon, and the caller's retry may
+        // arrive at a proxy that reaches the primary.
         return refused_for_now("the path to the primary is cut", std::chrono::milliseconds{0});
     }
     const auto limits = time_limits_of(run);
@@ -107,7 +107,8 @@
                   " aim_ms=" + std::to_string(run.route.target_latency.count()));
 }
 
-/// Returns a connection, or an empty lease and the reply in `refusal`.
+/// Returns a connection. If no connection can be acquired in time, returns an empty lease and sets `refusal` to the
+/// reply.
 template <routing::link_connector Connector>
 asio::awaitable<typename statement_engine<Connector>::lease>
 statement_engine<Connector>::acquire_connection(pool& backends, const statement_run& run,
@@ -120,8 +121,8 @@
             co_return lease{};
         }
         held = co_await backends.acquire(pool_request);
-        // The primary may have been lost during the wait. The request may then
-        // wait longer than under load, until another primary is found.
+        // If the primary became unreachable during the wait, the request is admitted again. The request may then wait
+        // until another primary is found, which is longer than the permitted wait under load.
         if (held || !pool_request.primary || backends.primary_reachable()) {
             break;
         }
--- a/src/cornellever/session/statement_outcomes.ipp
+++ b/src/cornellever/session/statement_outcomes.ipp
@@ -1,12 +1,12 @@
 #pragma once
 
-// Handles the replies to statements outside transactions: decides whether a
-// statement is answered or retried.
+// Handles the servers' replies to statements outside transactions: decides whether the caller (the connected client
+// application) gets a reply or the statement is retried.
 
 namespace cornellever::session {
 
-/// Whether `server` refused the request as not being the primary twice in a row.
-/// Further retries would repeat that until the statement times out.
+/// Records that `server` refused the request because it is not the primary. Returns whether the same server also
+/// refused the previous attempt; further retries would then be refused until the statement times out.
 template <routing::link_connector Connector>
 bool statement_engine<Connector>::refused_twice(routing::connection_request& pool_request, const std::string& server) {
     return std::exchange(pool_request.refused_by, server) == server;
@@ -68,8 +68,7 @@
             return outcome::answered;
         }
     }
-    // A read that no replica can serve goes to the primary, which has every
-    // commit and confirms its leadership.
+    // A read that no replica can serve goes to the primary, which has applied every commit and confirms its leadership.
     if (!pool_request.primary && pool_request.excluded_servers.size() + 1 >= backends.entries().size()) {
         pool_request.primary = true;
         pool_request.excluded_servers.clear();
--- a/src/cornellever/session/statement_permission.ipp
+++ b/src/cornellever/session/statement_permission.ipp
@@ -4,7 +4,7 @@
 
 namespace cornellever::session {
 
-/// Returns the reply to a request that is not permitted; empty if it is.
+/// Returns the error reply if the request is not permitted, and nothing if it is permitted.
 template <routing::link_connector Connector>
 std::optional<sql::reply>
 statement_engine<Connector>::permission_refusal(const statement_run& run,
@@ -19,13 +19,13 @@
     if (permission.verdict == accounts::permission::unknown_key) {
         return refused(sql::refusal::unknown_key, "the key is not known", sql::transaction_state::idle);
     }
-    // Another proxy's configuration may be confirmed current: retry at once.
+    // The retry delay is 0 because another proxy may have a configuration that is confirmed to be current.
     return refused_for_now("the configuration is not known to be current", std::chrono::milliseconds{0});
 }
 
-/// The permission check right before a statement is sent. While the request
-/// waited for its connection, the key may have been revoked or assigned to
-/// another account.
+/// Checks the permission again right before a statement is sent, because the key may have been revoked or assigned to
+/// another account while the request waited for its connection. Returns the error reply if the request is not
+/// permitted, and nothing if it is permitted.
 template <routing::link_connector Connector>
 std::optional<sql::reply> statement_engine<Connector>::permission_refusal_at_send(const statement_run& run,
                                                                                   const lease& held) const {
@@ -36,8 +36,8 @@
     return permission_refusal(run, permission);
 }
 
-/// Rolls back a transaction whose request is no longer permitted and returns the
-/// reply; empty if it is permitted.
+/// Rolls back the transaction and returns the error reply if the request is no longer permitted. Returns nothing if the
+/// request is permitted.
 template <routing::link_connector Connector>
 std::optional<sql::reply> statement_engine<Connector>::abort_unpermitted(transaction& tx, const statement_run& run) {
     auto forbidden = permission_refusal_at_send(run, tx.pinned);
--- a/src/cornellever/session/statement_transactions.ipp
+++ b/src/cornellever/session/statement_transactions.ipp
@@ -23,8 +23,8 @@
     co_return answer->ok();
 }
 
-/// Acquires a connection for a transaction, opens the transaction there and pins
-/// it. False, with the reply in `refusal`, if that fails.
+/// Acquires a connection for a transaction, opens the transaction on the connection and reserves (pins) the connection
+/// for it. Returns false and sets `refusal` to the reply if that fails.
 template <routing::link_connector Connector>
 asio::awaitable<bool> statement_engine<Connector>::pin(transaction& tx, const statement_run& run, sql::reply& refusal) {
     auto& backends = *tx.backends;
--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -107,11 +107,10 @@
     }
 }
 
-/// Delays a session opening that arrives before the first configuration, at most
-/// until `max_configuration_wait` after the start. When all proxies are started
-/// together, refused callers would retry at proxies without a configuration and
-/// use up their attempts within milliseconds. Later openings without a
-/// configuration are refused at once.
+/// Delays a session opening that arrives before the first configuration, at most until `max_configuration_wait` after
+/// the start of the process. When all proxies are started together, refused callers would retry at proxies that have no
+/// configuration either and use up their attempts within milliseconds. After that time, a session opening is refused
+/// immediately if there is still no configuration.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_configuration() {
     if (!has_configuration()) {
@@ -149,8 +148,8 @@
     for (;;) {
         active.status.is_idle = active.outside_transaction();
         const bool closing = m_close_idle_sessions || (m_close_after_answer && answered);
-        // A request that has arrived already is still answered: its caller could
-        // not know that the session was about to be closed.
+        // A request that has already arrived is still answered, because its caller could not know that the session was
+        // about to be closed.
         if (closing && active.status.is_idle && caller.close_if_no_input()) {
             break;
         }
@@ -314,7 +313,7 @@
         if (found == m_config.routes.end()) {
             co_return refused(sql::refusal::no_such_database, active.state.database, sql::transaction_state::idle);
         }
-        // A copy: a newer configuration may replace it while the statement runs.
+        // The route is copied because a newer configuration may replace it while the statement runs.
         const auto route = found->second;
         const statement_run execution{route, m_gate, active.state, request, prepared, arrival};
         co_return co_await m_engine.run_autocommit(pool_for(route.service), execution);
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -1,11 +1,11 @@
 #pragma once
 
-// Accounts of sessions: keys, permissions and rate limits.
+// Client accounts of sessions: API keys, permissions and rate limits.
 
 namespace cornellever::session {
 
-/// Waits for a configuration of at least `version`. A proxy that relays a session
-/// may have learned of the caller's key earlier than this one.
+/// Waits up to `max_version_wait` for a configuration of at least `version`. The proxy that relays a session may have
+/// learned of the caller's key earlier than this proxy.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_version(std::uint64_t version) {
     const auto until = boot_clock::now() + max_version_wait;
@@ -14,8 +14,8 @@
     }
 }
 
-/// Returns the error for a session that can't be opened, with its `reason` for
-/// the log; empty if it can.
+/// Returns the error if the session can't be opened, and sets `reason` to the cause for the log. Returns nothing if the
+/// session can be opened.
 template <routing::link_connector Connector>
 std::optional<sql::statement_error> traffic<Connector>::opening_refusal(const session_opening& opening,
                                                                         std::string& reason) const {
@@ -30,8 +30,8 @@
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::unknown_key, "the key is not known"};
     }
-    // The relaying proxy can try other peers, though it does not know whether
-    // their configuration is any more current.
+    // The relaying proxy can try another peer, although it does not know whether that peer's configuration is any more
+    // current.
     if (opening.relayed && !permission.granted()) {
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::overloaded, "the configuration is not known to be current"};
@@ -43,7 +43,7 @@
     return std::nullopt;
 }
 
-/// Refuses a session that can't be opened. Returns whether it was refused.
+/// Refuses a session that can't be opened and closes the caller's connection. Returns whether the session was refused.
 template <routing::link_connector Connector>
 bool traffic<Connector>::refuse_opening(const session_opening& opening, auto& caller) {
     std::string reason;
@@ -59,8 +59,8 @@
     return true;
 }
 
-/// Ends the open transaction of a session whose key was revoked, here or at a
-/// peer, and returns the reply; empty if the key still belongs to an account.
+/// If the session's key no longer belongs to an account, ends the session's open transaction at this proxy or at the
+/// peer and returns the reply. Returns nothing otherwise.
 template <routing::link_connector Connector>
 std::optional<sql::reply> traffic<Connector>::refuse_revoked_key(active_session& active, const sql::request& request) {
     const auto route = m_config.routes.find(active.state.database);
@@ -85,9 +85,8 @@
                    sql::transaction_state::idle);
 }
 
-/// Whether a request starts an operation, the unit of rate limits: a statement
-/// outside a transaction, or a whole transaction, which can be refused only at
-/// its start.
+/// Whether a request starts an operation, the unit of rate limits. An operation is a statement outside a transaction or
+/// a whole transaction; a transaction can be refused only at its start.
 template <routing::link_connector Connector>
 bool traffic<Connector>::starts_operation(const active_session& active, const sql::request& request) {
     if (active.relayed || !active.outside_transaction()) {
@@ -105,9 +104,9 @@
     }
 }
 
-/// Refuses an operation beyond its account's rate limit. This comes before the
-/// operation waits for a connection or is relayed, so that excess load of one
-/// account does not affect others.
+/// Returns the error reply if the operation exceeds its account's rate limit, and nothing otherwise. The limit is
+/// checked before the operation waits for a connection or is relayed, so that excess load of one account does not
+/// affect others.
 template <routing::link_connector Connector>
 asio::awaitable<std::optional<sql::reply>> traffic<Connector>::refuse_over_limit(active_session& active,
                                                                                  const sql::request& request) {
@@ -134,10 +133,9 @@
                               verdict.wait);
 }
 
-/// The key by which sessions are spread over the connection owners. It is the
-/// same for all sessions of an account, so that the account's connections are
-/// concentrated at few owners and an idle one more often belongs to the right
-/// account.
+/// Returns the number by which sessions are spread over the connection owners (the proxies that hold connections to a
+/// service's servers). The number is the same for all sessions of an account, so that the account's connections are
+/// concentrated at few owners and an idle connection more often belongs to the account that needs one.
 template <routing::link_connector Connector>
 std::uint64_t traffic<Connector>::spreading_key(const active_session& active) const {
     const auto* who = m_gate.accounts().find_by_key(active.state.key);
--- a/src/cornellever/session/traffic_relay.ipp
+++ b/src/cornellever/session/traffic_relay.ipp
@@ -1,12 +1,12 @@
 #pragma once
 
-// Sessions whose operations are executed by other proxies.
+// Sessions whose operations are executed by other proxies (peers).
 
 namespace cornellever::session {
 
-/// Chooses where the session's next operation is executed: at a connection
-/// owner, at a peer that reaches the primary, or here. Callers don't notice a
-/// change, since their values and prepared statements are kept at this proxy.
+/// Chooses the proxy that executes the session's next operation: a connection owner (a proxy that holds connections to
+/// the service's servers), a peer that reaches the primary, or this proxy. The caller (the connected client
+/// application) does not notice a change, since this proxy keeps the session's values and prepared statements.
 template <routing::link_connector Connector>
 void traffic<Connector>::choose_site(active_session& active) {
     if (active.relayed || !active.outside_transaction()) {
@@ -32,17 +32,15 @@
     active.site = place;
 }
 
-/// Whether the peer of a session has failed another session since this one was
-/// opened there. Without this check every session would run into its own
-/// timeout.
+/// Whether the peer has refused or lost another session since this session was opened at the peer. Without this check,
+/// every session at a failed peer would have to wait for its own timeout.
 template <routing::link_connector Connector>
 bool traffic<Connector>::peer_suspected(const peer_session& at_peer) const {
     const auto found = m_peer_failures.find(at_peer.peer_name);
     return at_peer.session != nullptr && found != m_peer_failures.end() && found->second > at_peer.opened_at;
 }
 
-/// The peers that may execute the session's next operation, in the order in
-/// which they are tried.
+/// Returns the peers that may execute the session's next operation, in the order in which they are tried.
 template <routing::link_connector Connector>
 std::vector<proxy_node> traffic<Connector>::candidate_peers(const active_session& active) {
     if (active.site == execution_site::detour) {
@@ -61,8 +59,8 @@
     return out;
 }
 
-/// Opens a session at one of the candidate peers, unless one is open already, and
-/// replays values and prepared statements there. False if all peers failed.
+/// Opens a session at one of the candidate peers, unless a session is already open at a peer, and replays the values
+/// and prepared statements in the new session. Returns false if no attempt succeeded.
 template <routing::link_connector Connector>
 asio::awaitable<bool> traffic<Connector>::open_at_peer(active_session& active) {
     if (active.at_peer.open()) {
@@ -91,8 +89,8 @@
     co_return false;
 }
 
-/// Answers requests that need no server and pipelines them to the peer; empty for
-/// a statement that the peer has to execute.
+/// Answers a request that needs no backend server and pipelines it to the peer if the peer has to apply it too. Returns
+/// nothing for a statement that the peer has to execute.
 template <routing::link_connector Connector>
 std::optional<sql::reply> traffic<Connector>::answer_locally(active_session& active, const sql::request& request) {
     auto& at_peer = active.at_peer;
@@ -150,8 +148,8 @@
     }
 }
 
-/// Answers a request in a failed transaction: COMMIT and ROLLBACK end it with a
-/// rollback, everything else is refused.
+/// Answers a request in a failed transaction: COMMIT and ROLLBACK end the transaction with a rollback, and all other
+/// requests are refused.
 template <routing::link_connector Connector>
 sql::reply traffic<Connector>::answer_after_failure(peer_session& at_peer, const sql::request& request) {
     const bool commit = request.what.kind == sql::statement_kind::commit;
@@ -166,8 +164,8 @@
     return acknowledged(at_peer.state);
 }
 
-/// Sends the peer a request that was answered already. If that fails, the session
-/// at the peer is closed, which the next statement detects.
+/// Sends the peer a request that this proxy has already answered. If sending fails, closes the session at the peer; the
+/// next statement detects that the session is closed.
 template <routing::link_connector Connector>
 void traffic<Connector>::pipeline(peer_session& at_peer, const sql::request& request) {
     if (at_peer.open() && !at_peer.session->pipeline(request)) {
@@ -208,8 +206,8 @@
     co_return out;
 }
 
-/// Whether a statement whose peer failed may be retried at another one: outside
-/// a transaction, if it did not run or changes nothing.
+/// Whether a statement whose peer failed may be retried at another peer. This is the case outside a transaction if the
+/// statement did not run or is not a write.
 template <routing::link_connector Connector>
 bool traffic<Connector>::may_retry(const active_session& active, const sql::request& request,
                                    routing::link_failure why) {
@@ -228,7 +226,7 @@
     const auto until = boot_clock::now() + limit + peer_reply_slack;
     auto why = routing::link_failure::not_sent;
     for (std::size_t tries = 0; tries < max_peer_attempts; ++tries) {
-        // The statements of this transaction were lost with the peer.
+        // The session at the peer is closed, so the statements of this transaction are lost.
         const bool lost = at_peer.state == sql::transaction_state::open && !at_peer.deferred_begin && !at_peer.open();
         if (lost) {
             break;
@@ -261,8 +259,8 @@
     co_return out;
 }
 
-/// Executes an operation here because no candidate peer is reachable, with the
-/// connection or two that this proxy may open.
+/// Executes an operation at this proxy because no candidate peer is reachable. The operation uses the connection or two
+/// to each server that this proxy may open.
 template <routing::link_connector Connector>
 asio::awaitable<sql::reply> traffic<Connector>::execute_locally(active_session& active, const sql::request& request) {
     active.site = execution_site::local;
--- a/src/cornellever/session/traffic_sharing.ipp
+++ b/src/cornellever/session/traffic_sharing.ipp
@@ -1,6 +1,7 @@
 #pragma once
 
-// Connection ownership, and detours round cut paths to primaries.
+// Connection ownership (which proxies hold connections to a service's servers), and detours (sessions relayed to a peer
+// because the network path from this proxy to a primary is cut).
 
 namespace cornellever::session {
 
@@ -28,7 +29,7 @@
     m_ownership.clear();
     for (auto& [name, backends] : m_pools) {
         const auto& ownership = ownership_of(name);
-        // A proxy that has ceased to be an owner still serves its open sessions.
+        // A proxy that is no longer an owner keeps a budget of one connection for the sessions that it still serves.
         const auto owner_count = ownership.owners.empty() ? m_proxies.size() : ownership.owners.size();
         const bool is_owner = ownership.owns(m_name);
         backends->set_budget(is_owner ? ownership.connections_each : 1, owner_count, is_owner,
@@ -42,10 +43,9 @@
     return route == m_config.routes.end() || ownership_of(route->second.service).owns(m_name);
 }
 
-/// Waits until the proxies of the cluster are known. A proxy that has just
-/// started does not know the connection owners yet. If it opened connections of
-/// its own meanwhile, after an outage of all proxies the servers' connection
-/// limits would be exhausted before the owners connect.
+/// Waits up to `max_membership_wait` until the proxies of the cluster are known. A proxy that has just started does not
+/// know yet which proxies own the connections. If every proxy opened connections itself during this time, the servers'
+/// connection limits would be exhausted after an outage of all proxies before the owners connect.
 template <routing::link_connector Connector>
 asio::awaitable<void> traffic<Connector>::await_proxies() {
     const auto until = boot_clock::now() + max_membership_wait;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The peers that reach the primary of a database while this proxy does not.
+/// Returns the peers that reach the primary of a database while this proxy does not; empty if this proxy reaches it.
 template <routing::link_connector Connector>
 std::vector<proxy_node> traffic<Connector>::detour_peers(const std::string& database, std::uint64_t session) const {
     const auto route = m_config.routes.find(database);
@@ -66,8 +66,8 @@
                                   found->second->observation().last_contact_at);
 }
 
-/// Updates in each pool whether the path to its primary is cut: whether peers
-/// reach the primary while this proxy does not.
+/// Updates in each pool whether the network path to the pool's primary is cut, which is the case if peers reach the
+/// primary while this proxy does not.
 template <routing::link_connector Connector>
 void traffic<Connector>::update_paths() {
     const auto now = boot_clock::now();
@@ -78,8 +78,8 @@
     }
 }
 
-/// Closes idle sessions relayed to this proxy whose primary it does not reach.
-/// The relaying proxies can try other peers.
+/// Closes idle sessions that were relayed to this proxy if this proxy does not reach their primary while other peers
+/// do. The relaying proxies can then try those peers.
 template <routing::link_connector Connector>
 void traffic<Connector>::close_relayed_without_primary() {
     for (auto* item : m_sessions) {
