--- a/src/cornellever/config/load.cpp
+++ b/src/cornellever/config/load.cpp
@@ -28,8 +28,8 @@
 
     void add(const ini::entry& item) {
         if (item.key.find_first_of(" \t") != std::string::npos) {
-            // The INI parser also splits a line at ':', so "address 127.0.0.1:7101" parses as the key "address
-            // 127.0.0.1". The message points to the missing '='.
+            // The INI parser also splits a line at ':'. The line "address 127.0.0.1:7101" therefore parses as the key
+            // "address 127.0.0.1", and the message points to the missing '='.
             report(item.where, "'" + item.key + ":" + item.value + "' is not key = value: is '=' missing?");
             return;
         }
--- a/src/cornellever/config/model.hpp
+++ b/src/cornellever/config/model.hpp
@@ -8,7 +8,7 @@
 
 namespace cornellever::config {
 
-/// Default staleness bound of replica reads, in milliseconds.
+/// Default maximum staleness of reads from replicas, in milliseconds.
 inline constexpr std::int64_t default_max_staleness_ms = 1000;
 
 /// Default time in milliseconds that a read waits for a replica to apply the session's last write before the read goes
@@ -39,7 +39,7 @@
 /// A database service as declared by operators.
 struct service {
     std::string name;
-    /// Staleness bound of replica reads.
+    /// Maximum staleness of reads from replicas.
     std::chrono::milliseconds max_staleness{default_max_staleness_ms};
     /// How long a read waits for a replica to apply the session's last write before the read goes to the primary.
     std::chrono::milliseconds replica_wait{default_replica_wait_ms};
--- a/src/cornellever/session/connection_ownership.cpp
+++ b/src/cornellever/session/connection_ownership.cpp
@@ -13,8 +13,9 @@
 
 namespace {
 
-/// Number of connections that an owner (a proxy that holds connections for others) has to each server. With two, a
-/// statement can run on one connection while a transaction that is idle between statements holds the other.
+/// Number of connections that an owner (a proxy that holds connections for itself and for other proxies) has to each
+/// server. With two, a statement can run on one connection while a transaction that is idle between statements holds
+/// the other.
 constexpr std::size_t connections_per_owner = 2;
 
 /// Maximum number of owners of one service's connections. With eight owners, the loss of one moves an eighth of the
--- a/src/cornellever/session/statement_engine.ipp
+++ b/src/cornellever/session/statement_engine.ipp
@@ -42,7 +42,8 @@
     if (!out.primary) {
         out.floor = backends.floor().floor(run.arrival, run.route.max_staleness, run.session.last_commit);
         // Without a recent freshness sample (a log position that the primary reported), no replica is known to be
-        // within the staleness bound. The primary always is within the bound once it confirms its leadership.
+        // within the staleness bound. The primary always is within the bound once it confirms its leadership, i.e. that
+        // it is still the primary.
         out.primary = !out.floor.has_value();
     }
     return out;
@@ -107,8 +108,8 @@
                   " aim_ms=" + std::to_string(run.route.target_latency.count()));
 }
 
-/// Returns a connection. If no connection can be acquired in time, returns an empty lease and sets `refusal` to the
-/// reply.
+/// Returns a lease, the handle of an acquired connection. If no connection can be acquired in time, returns an empty
+/// lease and sets `refusal` to the reply.
 template <routing::link_connector Connector>
 asio::awaitable<typename statement_engine<Connector>::lease>
 statement_engine<Connector>::acquire_connection(pool& backends, const statement_run& run,
--- a/src/cornellever/session/statement_outcomes.ipp
+++ b/src/cornellever/session/statement_outcomes.ipp
@@ -68,7 +68,8 @@
             return outcome::answered;
         }
     }
-    // A read that no replica can serve goes to the primary, which has applied every commit and confirms its leadership.
+    // A read that no replica can serve goes to the primary, which has applied every commit and confirms that it is
+    // still the primary.
     if (!pool_request.primary && pool_request.excluded_servers.size() + 1 >= backends.entries().size()) {
         pool_request.primary = true;
         pool_request.excluded_servers.clear();
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -61,7 +61,8 @@
     void update(routing::registry servers);
 
     /// Records that the configuration in force, or an older one, was confirmed to be current at the time `at`. This
-    /// extends the configuration lease.
+    /// extends the configuration lease, the time for which this proxy may check API keys against its copy of the
+    /// configuration.
     void confirm_configuration(boot_clock::time_point at) { m_gate.confirm_current(at); }
 
     /// Sets the proxies that share each server's connections, including this proxy. The list is empty while the proxies
@@ -96,8 +97,7 @@
     /// Whether a configuration is known. Without a configuration no session can be opened.
     [[nodiscard]] bool has_configuration() const noexcept { return m_config.version != 0; }
 
-    /// From now on, sessions are closed after their next reply outside a
-    /// transaction.
+    /// From now on, each session is closed after its next reply outside a transaction.
     void close_after_answer() { m_close_after_answer = true; }
 
     /// Closes all idle sessions. From now on, every other session is closed as soon as it is idle.
@@ -210,8 +210,7 @@
     accounts::authorizer m_gate;
     operation_limits m_limits;
     engine m_engine;
-    /// Expires after `max_configuration_wait`; cancelled when a configuration
-    /// arrives.
+    /// Timer that expires after `max_configuration_wait` and is cancelled when a configuration arrives.
     asio::steady_timer m_configuration_due;
     std::map<std::string, std::unique_ptr<pool>, std::less<>> m_pools;
     /// Reported log positions for services without a pool yet, by service name.
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -30,8 +30,8 @@
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::unknown_key, "the key is not known"};
     }
-    // The relaying proxy can try another peer, although it does not know whether that peer's configuration is any more
-    // current.
+    // The session is refused because the relaying proxy can try another peer, although that peer's configuration need
+    // not be any more current.
     if (opening.relayed && !permission.granted()) {
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::overloaded, "the configuration is not known to be current"};
--- a/src/cornellever/session/traffic_sharing.ipp
+++ b/src/cornellever/session/traffic_sharing.ipp
@@ -54,7 +54,8 @@
     }
 }
 
-/// Returns the peers that reach the primary of a database while this proxy does not; empty if this proxy reaches it.
+/// Returns the peers that reach the primary of a database while this proxy does not; empty if this proxy reaches the
+/// primary or no peer does.
 template <routing::link_connector Connector>
 std::vector<proxy_node> traffic<Connector>::detour_peers(const std::string& database, std::uint64_t session) const {
     const auto route = m_config.routes.find(database);
