--- a/src/cornellever/proxy/answer.hpp
+++ b/src/cornellever/proxy/answer.hpp
@@ -13,24 +13,28 @@
 
 using answer = asio::awaitable<result<Json::Value>>;
 
-/// The parameters of a backend's `execute` call.
+/// Returns the parameters for a backend server's `execute` call.
 [[nodiscard]] Json::Value statement_payload(const execute_request& request);
 
-/// Names the instance that served a request, as reported to the caller.
+/// Returns the description of the backend instance that served a request, as reported to the caller (the client
+/// application connected to the proxy).
 [[nodiscard]] Json::Value served_by(const instance_view& target);
 
-/// A statement's result as returned to the caller, with the session token.
+/// Returns a statement's result in the form sent to the caller, with the session token. `backend` is the backend
+/// server's response.
 [[nodiscard]] Json::Value statement_answer(const Json::Value& backend, const session_token& token,
                                            const instance_view& target);
 
-/// The log position reported in a backend's answer to a write.
+/// Returns the term and log position reported in a backend server's response to a write.
 [[nodiscard]] term_position position_from(const Json::Value& backend);
 
-/// Time left until `until`; at least 1 ms, so that a call started at the deadline still returns its own error.
+/// Returns the time left until `until`, but at least 1 ms: a call that is started at its deadline then still fails with
+/// an error of its own.
 [[nodiscard]] std::chrono::milliseconds time_left(std::chrono::steady_clock::time_point until);
 
-/// Whether a refused request may be retried as it is: it certainly did not run, and the cause is transient (a
-/// failover, a lock, a full connection table). A refusal with a retry delay is returned to the caller instead.
+/// Whether the proxy may retry a refused request unchanged: the request certainly did not run, and the cause of the
+/// refusal is transient (a failover, a lock, a full connection pool). A refusal that carries a retry delay is not
+/// retried but returned to the caller.
 [[nodiscard]] bool is_retryable(const error& refusal) noexcept;
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/backend_group.hpp
+++ b/src/cornellever/proxy/backend_group.hpp
@@ -9,16 +9,16 @@
 
 namespace cornellever::proxy {
 
-/// Deadlines of the calls that change a primary.
+/// Deadlines of the calls to backend servers during a failover.
 struct group_deadlines {
     std::chrono::milliseconds fence{300};
-    /// How much longer to wait for the remaining members once a majority is fenced.
+    /// How much longer to wait for the responses of the remaining members once a majority is fenced.
     std::chrono::milliseconds straggler{20};
     std::chrono::milliseconds promote{1000};
     std::chrono::milliseconds quiesce{1000};
 };
 
-/// Implements `group_client` over RPC for the instances of a database.
+/// Implements `group_client`, the failover's calls to the instances of a database, over RPC.
 class backend_group {
 public:
     explicit backend_group(asio::any_io_executor executor, group_deadlines deadlines = {});
--- a/src/cornellever/proxy/backoff.hpp
+++ b/src/cornellever/proxy/backoff.hpp
@@ -6,9 +6,9 @@
 
 namespace cornellever::proxy {
 
-/// Exponential backoff with jitter: the pause doubles after each attempt, up to a maximum. Each pause is drawn at
-/// random from the upper half of its range, so that proxies that failed together do not all retry at once against a
-/// platform that has just recovered.
+/// Exponential backoff with jitter: the full pause doubles after each attempt, up to a maximum. Each pause is drawn at
+/// random between half the full pause and the full pause, so that proxies whose attempts failed at the same time do not
+/// all retry at the same time and overload a platform that has just recovered.
 class backoff {
 public:
     backoff(std::chrono::milliseconds initial, std::chrono::milliseconds max, std::uint64_t seed)
@@ -17,7 +17,7 @@
         , m_next{initial}
         , m_random{seed} {}
 
-    /// The pause before the next attempt.
+    /// Returns the pause before the next attempt and doubles the full pause after that.
     [[nodiscard]] std::chrono::milliseconds next() {
         const auto full_pause = m_next;
         m_next = std::min(2 * m_next, m_max);
@@ -25,7 +25,7 @@
         return std::chrono::milliseconds{distribution(m_random)};
     }
 
-    /// Call after a successful attempt: starts again from the initial pause.
+    /// Starts again from the initial pause; to be called after a successful attempt.
     void reset() { m_next = m_initial; }
 
 private:
--- a/src/cornellever/proxy/config_follower.hpp
+++ b/src/cornellever/proxy/config_follower.hpp
@@ -12,20 +12,21 @@
 
 namespace cornellever::proxy {
 
-/// Key of the platform table row that holds the applied configuration.
+/// Key of the applied configuration in the platform's table, a key-value store shared by all machines.
 inline constexpr std::string_view config_row = "config/current";
 
-/// Interval between configuration polls, and the deadline of one call.
+/// Interval between polls for a newer configuration, and deadline of one call.
 struct follower_limits {
     std::chrono::milliseconds poll{500};
     std::chrono::milliseconds call_deadline{400};
 };
 
-/// Polls the platform's table for the applied configuration. While the platform does not answer, the last
-/// configuration stays in force and other proxies are asked for theirs. The version in force never decreases.
+/// Polls the platform's table for the applied configuration. While the platform does not respond, this proxy keeps its
+/// last configuration and asks the other proxies whether they have a newer one. The version that this proxy uses never
+/// decreases.
 class config_follower {
 public:
-    /// `on_newer` is called with each newer configuration.
+    /// `on_newer` is called with each newer configuration; `peers` are the addresses of the other proxies.
     config_follower(asio::any_io_executor executor, tcp::endpoint platform, std::vector<tcp::endpoint> peers,
                     follower_limits limits, std::function<void(config::cluster)> on_newer);
 
@@ -33,7 +34,7 @@
     asio::awaitable<void> run();
 
 private:
-    /// The row of the applied configuration if it is newer than the one in force, else null.
+    /// Returns the table row of the applied configuration if its version is newer than the version in use, else null.
     asio::awaitable<result<Json::Value>> fetch_newer_row();
     asio::awaitable<void> fetch_from_peer();
     void apply(const Json::Value& row);
--- a/src/cornellever/proxy/confirmer.hpp
+++ b/src/cornellever/proxy/confirmer.hpp
@@ -21,20 +21,22 @@
     tcp::endpoint address;
 };
 
-/// Waits until a quorum of replicas holds a write in the term in which it was made.
+/// Waits until enough replicas hold a write in the term in which it was made.
 ///
-/// This guards against a primary that is cut off from its replicas and keeps accepting writes while another instance
-/// is promoted. Its writes are in no other log, and a replica that accepted a later term refuses to confirm them, so
-/// they are never acknowledged. Every acknowledged write is held by a majority, from which the next primary is chosen.
+/// This protects against a primary that is cut off from its replicas and keeps accepting writes while another instance
+/// is promoted. Such writes are in no other instance's log, and a replica that has accepted a later term refuses to
+/// confirm them, so the proxy never acknowledges them. Every acknowledged write is held by a majority of the instances,
+/// and the next primary is chosen from a majority, which therefore includes an instance that holds the write.
 ///
-/// One connection per replica polls for the lowest pending position while writes are pending; each answer confirms
-/// every write up to the position that the replica holds. Used from the traffic thread only.
+/// While writes to a replica are pending, one connection to that replica polls for the lowest pending log position;
+/// each response confirms every write up to the position that the replica holds. Used from the traffic thread only (the
+/// thread that serves callers).
 class confirmer {
 public:
     explicit confirmer(asio::any_io_executor executor);
 
-    /// Waits until `needed` of `replicas` hold `entry`, at most `wait`. Errors: `outcome_unknown`, because the write
-    /// is in the primary's log and may or may not survive a failover.
+    /// Waits at most `wait` until `needed` of `replicas` hold `entry`. Errors: `outcome_unknown`, because the write is
+    /// in the primary's log and may or may not survive a failover.
     asio::awaitable<result<void>> confirm(std::span<const confirming_replica> replicas, term_position entry,
                                           std::size_t needed, std::chrono::milliseconds wait);
 
@@ -42,7 +44,7 @@
     struct pending_write {
         term_position entry;
         std::size_t needed;
-        /// Replicas that have not refused permanently.
+        /// Number of replicas that can still confirm the write because they have not accepted a later term.
         std::size_t candidates;
         std::set<std::string> confirmed;
         asio::steady_timer timer;
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -17,25 +17,26 @@
 
 namespace cornellever::proxy {
 
-/// Intervals and deadlines of heartbeats and of the machine list.
+/// Intervals and deadlines of heartbeats and of polling the list of machines.
 struct control_limits {
     std::chrono::milliseconds machines_poll{1000};
     std::chrono::milliseconds call_deadline{400};
     std::chrono::milliseconds heartbeat_interval{200};
     std::chrono::milliseconds heartbeat_deadline{300};
-    /// Heartbeat interval while a database's primary has not answered for `primary_overdue_after`.
+    /// Heartbeat interval for the instances of a database whose primary has not responded for `primary_overdue_after`.
     std::chrono::milliseconds overdue_heartbeat_interval{40};
     std::chrono::milliseconds primary_overdue_after{300};
 };
 
-/// The control side of a proxy, on a thread of its own: sends heartbeats to every instance of the configuration in
-/// force, polls the list of machines, and passes the results to the router on the traffic thread.
+/// The control plane of a proxy, run on its own thread: sends heartbeats to every instance of the current
+/// configuration, polls the platform's list of machines, starts failovers through `primary_monitor`, and passes the
+/// results to the router on the traffic thread, which serves callers.
 class control {
 public:
     control(asio::any_io_executor control_executor, asio::any_io_executor traffic, router& traffic_router,
             const settings& own_settings, const state_chart& failover_steps, control_limits limits = {});
 
-    /// Starts all polling loops.
+    /// Starts polling for the configuration and the machine list, and monitoring the primaries.
     void start();
 
 private:
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -19,35 +19,37 @@
 
 namespace cornellever::proxy {
 
-/// One instance of a database in a failover.
+/// One backend instance of the database that a failover runs for.
 struct group_member {
     std::string key;
     tcp::endpoint address;
-    /// Not to be promoted while the other members are a majority by themselves: its machine is leaving, or it is the
-    /// primary being replaced. A primary cut off from its replicas has the longest log because of writes that no other
-    /// member holds; chosen for that, it would be primary again and still be cut off.
+    /// True if the instance's machine is leaving (being taken out of service) or the instance is the primary to
+    /// replace. Such an instance is promoted only if the other fenced members are no majority by themselves. Otherwise
+    /// a primary that is cut off from its replicas could be chosen again: its log is the longest because of writes that
+    /// no other member holds, but it would still be cut off.
     bool not_preferred{false};
 };
 
-/// A stored record with its version in the table; 0 if there is no row yet.
+/// A database's stored record (its term, its primary and the proxy that claimed the term) with the version of its row
+/// in the platform's table; version 0 if there is no row yet.
 struct versioned_record {
     group_record record;
     std::uint64_t version{0};
 };
 
-/// A member's answer to `fence`: the end of its log.
+/// A member's response to `fence`: the term and position of its last log entry.
 struct fenced_member {
     group_member member;
     term_position log_end;
 };
 
-/// Access to the platform's table.
+/// Access to the records in the platform's table, a key-value store shared by all proxies.
 template <typename T>
 concept record_store = requires(T store, std::string_view database, const group_record& record,
                                 std::uint64_t expected) {
     /// Reads the record; its version is 0 if there is none.
     { store.read(database) } -> std::same_as<asio::awaitable<result<versioned_record>>>;
-    /// Compare-and-set; returns the new version.
+    /// Writes the record if the stored version is still `expected` (compare-and-set) and returns the new version.
     { store.write(database, record, expected) } -> std::same_as<asio::awaitable<result<std::uint64_t>>>;
 };
 
@@ -55,47 +57,53 @@
 template <typename T>
 concept group_client = requires(T group, const group_member& member, std::span<const group_member> members,
                                 std::uint64_t term, std::size_t quorum) {
-    /// Lets the primary of `term` finish its open transactions and refuse new ones.
+    /// Makes the primary of `term` refuse new transactions and waits for its open ones to end.
     { group.quiesce(member, term) } -> std::same_as<asio::awaitable<result<void>>>;
-    /// Makes the members refuse all terms below `term`. Returns those that accepted; once `quorum` members have, waits
-    /// only briefly for the others. Errors: `fenced` if a member has already accepted a higher term.
+    /// Makes the members refuse all terms below `term`. Returns the members that accepted; once `quorum` members have
+    /// accepted, waits only briefly for the others. Errors: `fenced` if a member has already accepted a higher term.
     { group.fence(members, term, quorum) } -> std::same_as<asio::awaitable<result<std::vector<fenced_member>>>>;
     /// Makes `member` the primary of `term`, with the other `members` as its replicas.
     { group.promote(member, term, members) } -> std::same_as<asio::awaitable<result<void>>>;
 };
 
-/// How long another proxy's claim is respected.
+/// How long this proxy waits for another proxy that has claimed a term, that is, has reserved it for a promotion by
+/// writing the record.
 inline constexpr auto default_claim_lease = std::chrono::milliseconds{2000};
 
-/// Most claims made in one run; further attempts are left to a later run.
+/// Maximum number of claims in one run of a failover; further attempts are left to a later run.
 inline constexpr int max_claims_per_run = 3;
 
-/// The result of a run.
+/// The result of one run of a failover.
 struct failover_outcome {
-    /// The new primary; empty if the run gave up.
+    /// Key of the new primary; empty if no instance was promoted.
     std::string primary;
     std::uint64_t term{0};
-    /// The final state of the chart and the event that led to it.
+    /// The final state of the state chart and the event that led to that state.
     std::string state;
     std::string event;
 
     [[nodiscard]] bool promoted() const noexcept { return !primary.empty(); }
 };
 
-/// Replaces the primary of a database, following charts/failover.ini.
+/// Replaces the primary of a database, following the state chart (a state machine read from an INI file) in
+/// charts/failover.ini.
 ///
-/// Two primaries can never both acknowledge writes: a term is allocated to one claim by compare-and-set; a promotion
-/// requires a majority of the instances to be fenced at that term; and a write is acknowledged only when a majority
-/// holds it in its own term (see `confirmer`). Any two majorities share an instance. Either that instance was fenced
-/// first and refuses to confirm the old primary's write, or it confirmed first and the write is in a log from which
-/// the promotion chose. If a claim's holder is paused past its lease, the instances refuse its term; safety does not
-/// depend on any clock. The lease only keeps proxies from racing each other.
+/// Two primaries can never both acknowledge writes, for three reasons. A term is allocated to one claim by
+/// compare-and-set. A promotion requires a majority of the instances to be fenced at that term. A write is acknowledged
+/// only when a majority holds it in the term in which it was made (see `confirmer`). Any two majorities share an
+/// instance. If that instance was fenced first, it refuses to confirm the old primary's write. If it confirmed the
+/// write first, the write is in one of the logs from which the new primary was chosen.
+///
+/// Safety does not depend on any clock: if a proxy is paused beyond the lease of its claim, the instances refuse the
+/// claimed term once they have accepted a higher one. The lease only keeps proxies from attempting the same failover
+/// concurrently.
 template <record_store Store, group_client Group>
 class failover {
 public:
     using clock = std::chrono::steady_clock;
 
-    /// `holder` names this proxy; `claim_prefix` is unique to it and identifies its claims.
+    /// `holder` is the name of this proxy; `claim_prefix` is unique to this proxy and starts the identifier of each of
+    /// its claims.
     failover(Store& store, Group& group, const state_chart& steps, std::string holder, std::string claim_prefix,
              std::chrono::milliseconds claim_lease = default_claim_lease)
         : m_store{store}
@@ -105,8 +113,8 @@
         , m_claim_prefix{std::move(claim_prefix)}
         , m_claim_lease{claim_lease} {}
 
-    /// Runs the chart for `database` once. `old_primary` is the primary to replace in a planned failover, or empty if
-    /// the primary is lost; `known_term` is the highest term that any instance reported.
+    /// Runs the state chart for `database` once. `old_primary` is the primary to replace in a planned failover, or
+    /// empty if the primary is lost; `known_term` is the highest term that any instance reported.
     asio::awaitable<failover_outcome> run(std::string database, std::vector<group_member> members,
                                           std::optional<group_member> old_primary, std::uint64_t known_term) {
         attempt current{.database = std::move(database),
@@ -161,8 +169,9 @@
         co_return "unknown_action";
     }
 
-    /// Whether to defer to another proxy's failover: one in progress, or one just finished whose primary this proxy
-    /// has not yet seen in a heartbeat.
+    /// Whether to wait for another proxy's failover: one that is in progress, or one that has just finished and whose
+    /// new primary has not yet appeared in this proxy's heartbeats. Returns false once the stored row has not changed
+    /// for the claim lease.
     [[nodiscard]] bool defers_to_other_claim(const std::string& database, const versioned_record& row,
                                              std::uint64_t known_term) {
         if (row.record.phase != group_phase::promoting && row.record.term <= known_term) {
@@ -198,8 +207,8 @@
         if (written.error().code == errc::conflict) {
             co_return "held_by_other";
         }
-        // The answer was lost, and the row may have been written. Reading it back decides: the claim succeeded if the
-        // row holds this very claim.
+        // The write's response was lost, and the row may have been written. Read the row back: the claim succeeded if
+        // the row holds exactly this claim.
         auto after = co_await m_store.read(current.database);
         if (after && after->record == current.record) {
             current.version = after->version;
@@ -210,7 +219,8 @@
 
     asio::awaitable<std::string> quiesce(attempt& current) {
         if (current.old_primary) {
-            // Best effort: fencing stops a primary that did not answer.
+            // The result is ignored: the next step fences the members, which stops the old primary even if it did not
+            // respond.
             (void)co_await m_group.quiesce(*current.old_primary, current.known_term);
         }
         co_return "quiesced";
@@ -230,8 +240,8 @@
         co_return "majority_fenced";
     }
 
-    /// The member with the longest log among the preferred ones if those alone are a majority (and so hold every
-    /// acknowledged write), else among all.
+    /// Returns the fenced member with the longest log. Considers only members without `not_preferred` if those alone
+    /// are a majority and so hold every acknowledged write; otherwise considers all.
     [[nodiscard]] static group_member choose(std::span<const fenced_member> fenced, std::size_t quorum) {
         const auto preferred = [](const fenced_member& item) { return !item.member.not_preferred; };
         const bool preferred_suffice = std::cmp_greater_equal(std::ranges::count_if(fenced, preferred), quorum);
--- a/src/cornellever/proxy/graceful_shutdown.hpp
+++ b/src/cornellever/proxy/graceful_shutdown.hpp
@@ -12,16 +12,17 @@
 
 /// Time limits of the phases of a graceful shutdown.
 struct shutdown_limits {
-    /// For open transactions to end.
+    /// Time for open transactions to end.
     std::chrono::milliseconds transactions{4000};
-    /// For requests in flight, once no transaction is open.
+    /// Time for requests in flight to end, counted from the end of the transaction phase.
     std::chrono::milliseconds requests{6000};
-    /// For an idle connection to send a request that is already on its way.
+    /// Time for a caller (a client application) to send a request on an idle connection before the proxy exits.
     std::chrono::milliseconds idle_connection_grace{500};
 };
 
-/// Stops a proxy without interrupting requests, following charts/drain.ini: first transactions end, on the connections
-/// that began them; then each connection is closed after an answer, never before one.
+/// Stops a proxy without interrupting requests, following the state chart (a state machine read from an INI file) in
+/// charts/drain.ini. First waits for open transactions to end on the connections that began them. Then closes each
+/// connection after a response has been sent on it, never while a request is unanswered. Both phases have time limits.
 class graceful_shutdown {
 public:
     using clock = std::chrono::steady_clock;
@@ -32,7 +33,7 @@
         , m_steps{steps}
         , m_limits{limits} {}
 
-    /// Runs the chart to its end; the process may exit afterwards.
+    /// Runs the state chart to its end; the process may exit afterwards.
     asio::awaitable<void> run();
 
 private:
--- a/src/cornellever/proxy/group_record.hpp
+++ b/src/cornellever/proxy/group_record.hpp
@@ -10,32 +10,32 @@
 
 namespace cornellever::proxy {
 
-/// Progress of a failover: a new primary is being promoted, or the recorded one is in place.
+/// Whether a failover is promoting a new primary or the recorded primary is in place.
 enum class group_phase { promoting, settled };
 
-/// A database's row in the platform's table. A term is allocated by writing the row with a higher term by
-/// compare-and-set: of several proxies that try, exactly one succeeds. The term is the fencing token against holders
-/// of older terms.
+/// The row of a database in the platform's table, a key-value store shared by all proxies. A proxy allocates a term by
+/// writing the row with a higher term by compare-and-set: if several proxies try concurrently, exactly one succeeds.
+/// The term is the fencing token: instances that accepted it refuse older terms.
 struct group_record {
     std::uint64_t term{0};
     group_phase phase{group_phase::settled};
-    /// Key of the primary of `term`; empty while promoting.
+    /// Key of the primary of `term`; empty while a primary is being promoted.
     std::string primary;
-    /// The proxy that claimed the term, and a value unique to its claim, by which it recognises its own write if the
-    /// answer was lost.
+    /// The proxy that claimed the term (reserved it for a promotion), and an identifier unique to the claim. If the
+    /// response to its write is lost, the proxy reads the row and recognises its claim by this identifier.
     std::string holder;
     std::string claim;
 
     friend bool operator==(const group_record&, const group_record&) = default;
 };
 
-/// The table key of the record of `database` (`service/database`).
+/// Returns the table key of the record of `database` (`service/database`).
 [[nodiscard]] std::string group_record_key(std::string_view database);
 
-/// The record as stored.
+/// Returns the record as it is stored.
 [[nodiscard]] Json::Value to_json(const group_record& record);
 
-/// Reads a stored record. Errors: `bad_request` naming the field.
+/// Parses a stored record. Errors: `bad_request` naming the field.
 [[nodiscard]] result<group_record> group_record_from_json(const Json::Value& value);
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/platform_store.hpp
+++ b/src/cornellever/proxy/platform_store.hpp
@@ -10,7 +10,7 @@
 
 namespace cornellever::proxy {
 
-/// Implements `record_store` on the platform's table over RPC.
+/// Implements `record_store`, the failover's access to its records, on the platform's table over RPC.
 class platform_store {
 public:
     platform_store(asio::any_io_executor executor, tcp::endpoint platform, std::chrono::milliseconds deadline);
--- a/src/cornellever/proxy/pool.hpp
+++ b/src/cornellever/proxy/pool.hpp
@@ -16,12 +16,12 @@
 
 namespace cornellever::proxy {
 
-/// Limit of the wait queue for connections to one instance.
+/// Maximum number of requests that wait for a connection to one instance.
 inline constexpr std::size_t default_max_waiters = 64;
 
-/// A connection pool to one backend instance with at most `budget` open connections. A request without a free
-/// connection waits in a bounded queue. If the queue is full or the wait times out, it is refused with `busy`, which
-/// means it did not run. Used from the traffic thread only.
+/// A pool of at most `budget` open connections to one backend instance. If no connection is free, a request waits in a
+/// bounded queue. If the queue is full or the wait times out, the request is refused with `busy`, which means that it
+/// did not run. Used from the traffic thread only (the thread that serves callers).
 class pool {
 public:
     using channel_ptr = std::unique_ptr<rpc::channel>;
@@ -29,37 +29,41 @@
     pool(asio::any_io_executor executor, tcp::endpoint peer, std::size_t budget,
          std::size_t max_waiters = default_max_waiters);
 
-    /// Checks out a connection, waiting at most `wait`. Errors: `busy` if none became free in time; immediately, with
-    /// a retry delay, if the wait queue is full.
+    /// Checks out a connection, waiting at most `wait`. Errors: `busy` if no connection became free in time; `busy`
+    /// with a retry delay, without waiting, if the wait queue is full.
     asio::awaitable<result<channel_ptr>> acquire(std::chrono::milliseconds wait);
 
-    /// Returns a connection to the pool. A connection that a failed call left in an unknown state is closed.
+    /// Returns a connection to the pool. Closes the connection instead if a failed call left it in an unknown state, if
+    /// the pool is over its budget, or if the pool is retired.
     void release(channel_ptr connection);
 
-    /// Closes a connection that must not be reused, such as one with an abandoned transaction; the backend rolls that
-    /// back.
+    /// Closes a connection that must not be reused, such as one with an abandoned transaction; the backend server rolls
+    /// that transaction back.
     void discard(channel_ptr connection);
 
-    /// Has the backend roll back the transaction of its session `session`, over a new connection. Does not wait for
-    /// the answer.
+    /// Makes the backend server roll back the transaction of its session `session`, by a request over a new connection.
+    /// Does not wait for the response.
     void terminate(std::uint64_t session);
 
-    /// Closes all idle connections. Called after a call timed out: whatever dropped that connection (a middlebox, a
-    /// failing machine) has probably dropped the idle ones too, and each would cost another request a full timeout.
+    /// Closes all idle connections. Called after a call timed out: the cause (a middlebox that drops connections, a
+    /// failing machine) has probably broken the idle connections too, and each of them would cost another request a
+    /// full timeout.
     void close_idle();
 
-    /// Closes all connections in use. Called when an unresponsive instance was replaced, so that pending calls fail
-    /// now instead of at their deadlines.
+    /// Closes all connections in use. Called when an unresponsive primary has been replaced, so that pending calls to
+    /// it fail immediately instead of at their deadlines.
     void close_in_use();
 
-    /// Sets a new budget; connections above it are closed when they are returned.
+    /// Sets a new budget. Closes idle connections above the budget immediately, and connections in use when they are
+    /// returned.
     void resize(std::size_t budget);
 
-    /// While retired, the pool keeps no idle connections: the instance is leaving, and each connection is closed when
-    /// its current work ends.
+    /// Closes the idle connections if `retired` is true, and from then on each connection when it is returned. Used for
+    /// an instance that is leaving (its machine is being taken out of service).
     void retire(bool retired);
 
-    /// Open, idle and waiting counts, for the state dump.
+    /// Returns the budget and the counts of open connections, idle connections and waiting requests, for the state
+    /// dump.
     [[nodiscard]] Json::Value describe() const;
 
 private:
--- a/src/cornellever/proxy/pooled_connection.hpp
+++ b/src/cornellever/proxy/pooled_connection.hpp
@@ -7,9 +7,9 @@
 
 namespace cornellever::proxy {
 
-/// A connection checked out of a pool. Unless returned with `release`, it is closed on destruction. So a transaction
-/// that its caller abandoned can never be inherited by the connection's next user: the backend rolls back the
-/// transaction of a closed connection.
+/// A connection checked out of a pool. Unless it is returned with `release`, the connection is closed on destruction,
+/// and the backend server rolls back the transaction of a closed connection. So the next user of a connection can never
+/// continue a transaction that a caller (a client application) abandoned.
 class pooled_connection {
 public:
     pooled_connection(pool& owner, pool::channel_ptr connection)
@@ -34,10 +34,10 @@
 
     rpc::channel* operator->() const noexcept { return m_connection.get(); }
 
-    /// Sets the backend's session id of the transaction that is open on this connection.
+    /// Sets the id of the backend server's session whose transaction is open on this connection.
     void set_open_transaction(std::uint64_t session) noexcept { m_session = session; }
 
-    /// Returns the connection, its transaction ended, to the pool. A connection in an unknown state is closed.
+    /// Returns the connection to the pool, after its transaction has ended. Closes a connection in an unknown state.
     void release() {
         if (m_connection && !m_connection->usable()) {
             discard();
@@ -46,8 +46,9 @@
         }
     }
 
-    /// Closes the connection and has a transaction left open on it terminated over another one. If the network has
-    /// dropped this connection, the backend never sees it close and would keep holding the transaction's locks.
+    /// Closes the connection. If a transaction was opened on it, also asks the backend server to terminate that
+    /// transaction over another connection: if the network has dropped this connection, the server never sees it close
+    /// and would keep holding the transaction's locks.
     void discard() {
         if (!m_connection) {
             return;
--- a/src/cornellever/proxy/primary_monitor.hpp
+++ b/src/cornellever/proxy/primary_monitor.hpp
@@ -23,19 +23,20 @@
 struct monitor_limits {
     std::chrono::milliseconds check_interval{50};
     std::chrono::milliseconds call_deadline{400};
-    /// How long a primary that a replica is in contact with must be unreachable before the other proxies are asked
-    /// about it.
+    /// If a replica is still in contact with the primary: how long this proxy must fail to reach the primary before it
+    /// asks the other proxies whether they reach it.
     std::chrono::milliseconds unreachable_timeout{1000};
 };
 
-/// Monitors the primary of every database by its heartbeats and fails over when it is lost, leaving, or unreachable
-/// for a majority of the proxies.
+/// Monitors the primary of every database by heartbeats. Starts a failover when the primary is lost, when its machine
+/// is leaving (being taken out of service), or when a majority of the proxies cannot reach it.
 class primary_monitor {
 public:
     using clock = std::chrono::steady_clock;
 
-    /// Reads `current_topology`. `on_promoted` is called with a synthetic heartbeat of each new primary, before its
-    /// first real one arrives. `peers` are the other proxies.
+    /// Reads the state of the instances from `current_topology`. `on_promoted` is called after each promotion with a
+    /// heartbeat that is built from the outcome, so that the new primary is known before its first real heartbeat
+    /// arrives. `peers` are the addresses of the other proxies.
     primary_monitor(const asio::any_io_executor& executor, const topology& current_topology,
                     const tcp::endpoint& platform, std::vector<tcp::endpoint> peers, std::string name,
                     const state_chart& failover_steps, monitor_limits limits,
@@ -60,10 +61,11 @@
     backend_group m_group;
     failover<platform_store, backend_group> m_failover;
     std::function<void(const heartbeat&)> m_on_promoted;
-    /// Databases with a failover in progress or in its backoff after a failed attempt.
+    /// Databases for which a failover, the query of the other proxies before it, or the pause after a failed attempt is
+    /// in progress.
     std::set<std::string> m_replacing;
     std::map<std::string, backoff> m_backoffs;
-    /// When a database's primary became unreachable for this proxy.
+    /// Time at which each database's primary became unreachable for this proxy.
     std::map<std::string, clock::time_point> m_unreachable_since;
 };
 
--- a/src/cornellever/proxy/read_path.hpp
+++ b/src/cornellever/proxy/read_path.hpp
@@ -9,24 +9,25 @@
 
 namespace cornellever::proxy {
 
-/// Serves statements declared as reads. A replica answers if it has applied the session's last write (in that write's
-/// term) and its staleness is within the service's bound. The replica itself checks both, since what this proxy knows
-/// of it is up to one heartbeat old. If no replica can answer, the read waits briefly for one to catch up and then
-/// goes to the primary.
+/// Serves statements that the caller (the client application) declared as reads. A replica serves the read if it has
+/// applied the session's last write, in the term of that write, and its staleness is within the limit of the service.
+/// The replica itself checks both conditions, since this proxy's information about the replica is up to one heartbeat
+/// interval old. If no replica can serve the read, the proxy waits briefly for a replica to catch up and then sends the
+/// read to the primary.
 class read_path {
 public:
     using clock = std::chrono::steady_clock;
 
     read_path(backend_connections& backends, std::string zone) : m_backends{backends}, m_zone{std::move(zone)} {}
 
-    /// Serves one read by `until`.
+    /// Serves one read; `until` is its deadline.
     answer serve(const config::service& service, const execute_request& request, clock::time_point until);
 
-    /// Read counters for the state dump.
+    /// Returns the read counters for the state dump.
     [[nodiscard]] Json::Value describe() const;
 
 private:
-    /// Returns null if no replica can serve the read now.
+    /// Tries the preferred replicas in turn. Returns null if none of them can serve the read now.
     answer try_replicas(const config::service& service, const execute_request& request, clock::time_point until);
     answer serve_from_primary(const execute_request& request, clock::time_point until);
 
--- a/src/cornellever/proxy/request.hpp
+++ b/src/cornellever/proxy/request.hpp
@@ -10,11 +10,11 @@
 
 namespace cornellever::proxy {
 
-/// Deadline of a request whose caller sets none.
+/// Deadline of a request for which the caller (the client application) sets none.
 inline constexpr auto default_request_deadline = std::chrono::milliseconds{5000};
 
-/// Whether the caller declared the statement read-only. Only declared reads may go to replicas, and replicas refuse
-/// every write.
+/// Whether the caller declared the statement read-only. Only statements declared as reads are sent to replicas, and
+/// replicas refuse every write.
 enum class intent { read, write };
 
 /// A decoded and validated `execute` request.
@@ -28,7 +28,7 @@
     session_token session;
     /// The kind of request, matched against the service's `non_repeatable` list.
     std::string kind;
-    /// If set, the request takes effect at most once under this id.
+    /// If not empty, the request takes effect at most once, however often it is sent with this id.
     std::string request_id;
     std::chrono::milliseconds deadline{default_request_deadline};
 };
--- a/src/cornellever/proxy/router.hpp
+++ b/src/cornellever/proxy/router.hpp
@@ -17,15 +17,17 @@
 
 namespace cornellever::proxy {
 
-/// The traffic side of a proxy: decodes requests, checks them against the configuration in force and passes them to
-/// the read path, the write path or the transaction table. Used from the traffic thread only.
+/// The data plane of a proxy: decodes the requests of callers (connected client applications), checks them against the
+/// current configuration and passes them to the read path, the write path or the transaction table. Used from the
+/// traffic thread only.
 class router {
 public:
     using clock = std::chrono::steady_clock;
 
     router(asio::any_io_executor executor, std::string name, std::string zone, connection_limits limits = {});
 
-    /// Registers `execute`, `begin`, `commit`, `rollback`, `ready`, `config.current`, `primary.heard` and `dump`.
+    /// Registers the RPC methods `execute`, `begin`, `commit`, `rollback`, `ready`, `config.current`, `primary.heard`
+    /// and `dump`.
     void bind(rpc::server& rpc);
 
     /// Applies a newer configuration; an older or equal version is ignored.
@@ -34,21 +36,21 @@
     /// Applies a heartbeat result from the control thread.
     void record(const heartbeat& report) { m_backends.record(report); }
 
-    /// Applies the platform's list of machines from the control thread.
+    /// Applies the platform's list of machines from the control thread; see `backend_connections::set_machines`.
     void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
         m_backends.set_machines(leaving, proxies);
     }
 
-    /// From now on refuses new transactions as not run.
+    /// Makes the proxy refuse new transactions from now on, with an error that tells the caller that nothing ran.
     void drain() { m_draining = true; }
 
-    /// Rolls back transactions that have been idle for too long.
+    /// Rolls back transactions that have been idle for longer than their service allows.
     void sweep_abandoned() { m_transactions.sweep(); }
 
-    /// The number of open transactions, for a graceful shutdown.
+    /// Returns the number of open transactions, for a graceful shutdown.
     [[nodiscard]] std::size_t open_transactions() const noexcept { return m_transactions.open(); }
 
-    /// The proxy's state for `dump`.
+    /// Returns the proxy's state for `dump`.
     [[nodiscard]] Json::Value describe() const;
 
 private:
@@ -59,8 +61,8 @@
     answer current_config();
     answer primary_reachable(const Json::Value& in);
     answer dispatch(const config::service& service, const execute_request& request, clock::time_point until);
-    /// Looks up the service that a request names and checks that the request is allowed. Returns a copy because a
-    /// newer configuration may replace the service while the request runs.
+    /// Looks up the service that a request names and checks that the request is allowed. Returns a copy because a newer
+    /// configuration may replace the service while the request runs.
     [[nodiscard]] result<config::service> admit(const std::string& service, const std::string& database,
                                                 const std::string& kind, const std::string& request_id) const;
 
--- a/src/cornellever/proxy/settings.hpp
+++ b/src/cornellever/proxy/settings.hpp
@@ -8,8 +8,8 @@
 
 namespace cornellever::proxy {
 
-/// A proxy's own settings as written: its name, its zone and the addresses. Everything else comes from the applied
-/// configuration.
+/// The settings of one proxy as unparsed text: its name, its zone and the addresses. Everything else comes from the
+/// configuration that the proxy reads from the platform.
 struct settings_text {
     std::string name;
     std::string zone;
@@ -28,10 +28,10 @@
     std::vector<tcp::endpoint> peers;
 };
 
-/// Reads `[proxy]` from a folder of INI files into `out`; returns all findings.
+/// Reads the section `[proxy]` from a folder of INI files into `out`; returns all problems found.
 [[nodiscard]] std::vector<ini::finding> read_settings(const std::string& folder, settings_text& out);
 
-/// Validates the texts and parses their addresses into `out`; returns all findings.
+/// Validates the texts and parses their addresses into `out`; returns all problems found.
 [[nodiscard]] std::vector<ini::finding> check_settings(const settings_text& text, settings& out);
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/topology.hpp
+++ b/src/cornellever/proxy/topology.hpp
@@ -20,21 +20,22 @@
 /// How long an instance counts as healthy after its last successful heartbeat.
 inline constexpr auto health_timeout = std::chrono::milliseconds{600};
 
-/// How long a leaving primary still gets new work until its successor is promoted.
+/// How long a primary whose machine is leaving (being taken out of service) still gets new work while no successor has
+/// been promoted.
 inline constexpr auto leaving_grace = std::chrono::milliseconds{3000};
 
-/// The result of one heartbeat of an instance.
+/// The result of one heartbeat request to a backend instance.
 struct heartbeat {
     std::string key;
     bool answered{false};
-    /// The machine refused the connection: the instance's process is not running.
+    /// True if the machine refused the connection, which means that the instance's process is not running.
     bool refused{false};
     bool primary{false};
     std::uint64_t term{0};
-    /// The last position applied.
+    /// The last log position that the instance has applied.
     std::uint64_t position{0};
     std::int64_t staleness_ms{0};
-    /// How long ago a replica last heard from its primary.
+    /// For a replica, the time since its last contact with its primary.
     std::int64_t primary_contact_age_ms{0};
 };
 
@@ -54,11 +55,11 @@
     std::int64_t staleness_ms{0};
     std::int64_t primary_contact_age_ms{0};
     std::chrono::steady_clock::time_point last_heartbeat_at{};
-    /// Set while the platform lists the machine as leaving.
+    /// Time since which the platform lists the machine as leaving; empty if it does not.
     std::optional<std::chrono::steady_clock::time_point> leaving_since;
 
-    /// Whether new work may be sent here. A leaving replica gets none; a leaving primary gets some for
-    /// `leaving_grace`, until another primary takes over.
+    /// Whether new requests and transactions may be sent to this instance. A leaving replica gets none; a leaving
+    /// primary still gets them for `leaving_grace`, until another primary takes over.
     [[nodiscard]] bool accepts_new_work(std::chrono::steady_clock::time_point now) const {
         return !leaving_since || (primary && now - *leaving_since < leaving_grace);
     }
@@ -69,38 +70,38 @@
     }
 };
 
-/// `service/database`, the key of a database in tokens and logs.
+/// Returns `service/database`, the key of a database in tokens and logs.
 [[nodiscard]] std::string database_key(std::string_view service, std::string_view database);
 
-/// The instances of the configuration with their state from heartbeats.
+/// The backend instances of the configuration, each with its state from the last heartbeat.
 class topology {
 public:
-    /// Replaces the instances by those of `config`, keeping the state of unchanged ones.
+    /// Replaces the instances by those of `config`. Keeps the state of instances whose key and address are unchanged.
     void reset(const config::cluster& config);
 
-    /// Records a heartbeat; unknown keys are ignored.
+    /// Records a heartbeat result; results for unknown instances are ignored.
     void record(const heartbeat& report, std::chrono::steady_clock::time_point now);
 
     /// Marks the instances whose machine (`IP` or `IP:PORT`) is in `leaving`, and unmarks all others.
     void set_leaving(const std::set<std::string, std::less<>>& leaving, std::chrono::steady_clock::time_point now);
 
-    /// The healthy primary of a database with the highest term, or null.
+    /// Returns the healthy primary of a database with the highest term, or null.
     [[nodiscard]] const instance_view* primary(std::string_view service, std::string_view database,
                                                std::chrono::steady_clock::time_point now) const;
 
-    /// Healthy replicas that accept new work. Those known to have applied `last_write` come first, and among equals
-    /// those in `zone`.
+    /// Returns the healthy replicas that accept new work. Replicas known to have applied `last_write` come first; among
+    /// these, and among the others, replicas in `zone` come first.
     [[nodiscard]] std::vector<const instance_view*> replicas(std::string_view service, std::string_view database,
                                                              term_position last_write, std::string_view zone,
                                                              std::chrono::steady_clock::time_point now) const;
 
-    /// The instance with this key, or null.
+    /// Returns the instance with this key, or null.
     [[nodiscard]] const instance_view* find(std::string_view key) const;
 
-    /// All instances of a database.
+    /// Returns all instances of a database.
     [[nodiscard]] std::vector<const instance_view*> members(std::string_view service, std::string_view database) const;
 
-    /// All instances, for the state dump.
+    /// Returns all instances, for the state dump.
     [[nodiscard]] Json::Value describe(std::chrono::steady_clock::time_point now) const;
 
     /// All instances by key.
--- a/src/cornellever/proxy/transaction_table.hpp
+++ b/src/cornellever/proxy/transaction_table.hpp
@@ -12,27 +12,28 @@
 
 namespace cornellever::proxy {
 
-/// The open transactions of callers. Each is pinned to one backend connection, which no other request uses until the
-/// transaction ends, and to the caller connection that began it. No other connection can run statements in it, and
-/// when the caller disconnects it is rolled back at once instead of holding its locks until a timeout.
+/// The open transactions of callers (connected client applications). Each transaction is pinned to one backend
+/// connection, which no other request uses until the transaction ends, and to the caller's connection that began it. No
+/// other caller connection can run statements in the transaction. When the caller disconnects, the transaction is
+/// rolled back immediately instead of holding its locks until a timeout.
 class transaction_table {
 public:
     using clock = std::chrono::steady_clock;
 
     transaction_table(backend_connections& backends, write_path& writes) : m_backends{backends}, m_writes{writes} {}
 
-    /// Opens a transaction on the primary by `until`.
+    /// Opens a transaction on the primary; `until` is the deadline.
     answer begin(const config::service& service, const begin_request& request, rpc::connection& caller,
                  clock::time_point until);
 
-    /// Runs a statement inside its transaction.
+    /// Runs a statement inside the open transaction that the request names.
     answer execute(const execute_request& request, const rpc::connection& caller, clock::time_point until);
 
-    /// Commits or rolls back.
+    /// Commits or rolls back the transaction that the request names.
     answer commit(const finish_request& request, const rpc::connection& caller, clock::time_point until);
     answer rollback(const finish_request& request, const rpc::connection& caller, clock::time_point until);
 
-    /// Rolls back transactions that have been idle for too long.
+    /// Rolls back transactions that have been idle for longer than their service allows.
     void sweep();
 
     /// The number of open transactions.
--- a/src/cornellever/proxy/write_path.hpp
+++ b/src/cornellever/proxy/write_path.hpp
@@ -10,29 +10,31 @@
 
 /// Serves single statements that may write, on the primary.
 ///
-/// A write is acknowledged once a majority holds it. A request that certainly did not run is retried until the
-/// caller's deadline, which hides failovers from callers. A request that may have run is answered `outcome_unknown`,
-/// unless it has a request id: then it is retried under that id, which takes effect at most once.
+/// A write is acknowledged once a majority of the database's instances hold it. A request that certainly did not run is
+/// retried until the deadline set by the caller (the client application), which hides failovers from callers. If a
+/// request may have run, the response is `outcome_unknown`, unless the request has an id: then the proxy retries it
+/// with that id, and it takes effect at most once.
 class write_path {
 public:
     using clock = std::chrono::steady_clock;
 
     explicit write_path(backend_connections& backends) : m_backends{backends} {}
 
-    /// Serves a statement without a request id by `until`.
+    /// Serves a statement without a request id; `until` is the deadline.
     answer serve(const execute_request& request, clock::time_point until);
 
-    /// Serves a statement with a request id by `until`; it takes effect at most once.
+    /// Serves a statement with a request id, which takes effect at most once; `until` is the deadline.
     answer serve_idempotent(const execute_request& request, clock::time_point until);
 
-    /// The outcome of `request_id` on the database: its recorded and confirmed answer, or null if it has not taken
-    /// effect and no longer can, because its attempts run in transactions of their own. Errors: `outcome_unknown` if
-    /// the outcome could not be learnt by `until`.
+    /// Returns the recorded response of `request_id`, once a majority holds the record. Returns null if the request has
+    /// not taken effect and no longer can, because each attempt at it ran in a transaction of its own. Errors:
+    /// `outcome_unknown` if the outcome could not be determined by `until`.
     answer outcome_of(const std::string& service, const std::string& database, const std::string& request_id,
                       session_token& token, clock::time_point until);
 
-    /// Waits for the write at `entry` to be confirmed and advances `token`. Errors: `not_run` if the log of a later
-    /// primary, followed by a majority, lacks the write; `outcome_unknown` if neither could be learnt in time.
+    /// Waits until the write at `entry` is held by a majority and then advances `token`. If `primary` is replaced
+    /// meanwhile, looks for the write in the new primary's log. Errors: `not_run` if the log of a later primary,
+    /// followed by a majority, does not contain the write; `outcome_unknown` if neither could be determined in time.
     asio::awaitable<result<void>> acknowledge(const instance_view& primary, term_position entry, session_token& token,
                                               clock::time_point until);
 
@@ -48,7 +50,7 @@
                    clock::time_point until);
 
     /// Whether a write made on `replaced` is in the log of a later primary that a majority follows. Errors:
-    /// `outcome_unknown` if that could not be learnt by `until`.
+    /// `outcome_unknown` if that could not be determined by `until`.
     asio::awaitable<result<bool>> survived_failover(const instance_view& replaced, term_position entry,
                                                     clock::time_point until);
 
