--- a/src/cornellever/proxy/backend_connections.cpp
+++ b/src/cornellever/proxy/backend_connections.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr auto primary_poll_interval = std::chrono::milliseconds{10};
-/// A replaced instance without a heartbeat for this long counts as unresponsive.
+/// A replaced primary counts as unresponsive if its last successful heartbeat is longer ago than this.
 constexpr auto unresponsive_after = std::chrono::milliseconds{400};
 constexpr auto primary_retry_after = std::chrono::milliseconds{1000};
 
@@ -61,8 +61,8 @@
 }
 
 std::size_t backend_connections::connection_share(const instance_view& target) const {
-    // Each proxy takes an equal share of the instance's connections, so that all proxies together never exceed its
-    // limit.
+    // Each proxy uses an equal share of the instance's connections, but at least one, so that all proxies together stay
+    // within the instance's limit as long as the limit is not below the number of proxies.
     return std::max<std::size_t>(static_cast<std::size_t>(target.connections) / m_proxies, 1);
 }
 
@@ -173,8 +173,8 @@
     }
     auto out = co_await call_on(*connection, method, payload, deadline);
     if (out && out->isObject() && (*out)["in_transaction"].isBool() && (*out)["in_transaction"].asBool()) {
-        // The caller's SQL text opened a transaction. If the connection went back to the pool, its next user would
-        // write into that transaction.
+        // The SQL text of the statement opened a transaction. If the connection were returned to the pool, the next
+        // request on it would run inside that transaction.
         connection->discard();
         co_return fail(errc::bad_request, "the statement opened a transaction, which was undone: use 'begin'");
     }
--- a/src/cornellever/proxy/backend_group.cpp
+++ b/src/cornellever/proxy/backend_group.cpp
@@ -6,8 +6,8 @@
 
 namespace cornellever::proxy {
 
-/// Shared state of the parallel calls of one `fence`. Owned jointly with the calls, since a slow one may end after
-/// `fence` returned.
+/// State shared by the concurrent calls of one `fence`. Each call owns this state jointly with `fence`, since a slow
+/// call may end after `fence` has returned.
 struct backend_group::fence_round {
     explicit fence_round(const asio::any_io_executor& executor) : wake{executor} {}
 
@@ -63,7 +63,8 @@
     for (const auto& member : members) {
         asio::co_spawn(m_executor, fence_one(member, term, round), asio::detached);
     }
-    // Every change of the timer aborts the current wait; loop until the timer expires or no call is outstanding.
+    // Changing the timer's expiry cancels the current wait with `operation_aborted`. Wait again until the timer
+    // expires, no call is outstanding, or a member has refused the term.
     boost::system::error_code ec = asio::error::operation_aborted;
     while (ec == asio::error::operation_aborted && round->outstanding > 0 && !round->superseded) {
         co_await round->wake.async_wait(asio::redirect_error(asio::use_awaitable, ec));
--- a/src/cornellever/proxy/config_follower.cpp
+++ b/src/cornellever/proxy/config_follower.cpp
@@ -30,7 +30,7 @@
 }
 
 void config_follower::log_failure(const error& failure) {
-    // Logged once per outage: the platform may be down for hours.
+    // Log one failure per outage only: the platform may be unreachable for hours.
     if (!m_failing) {
         log_event(event::config_fetch_failed,
                   "reason=\"" + failure.message + "\" version_in_force=" + std::to_string(m_version));
@@ -39,8 +39,8 @@
 }
 
 asio::awaitable<result<Json::Value>> config_follower::fetch_newer_row() {
-    // A large customer's configuration takes tens of kilobytes, so each poll reads the version only and fetches the
-    // row when the version has risen.
+    // The configuration of a large customer takes tens of kilobytes, so each poll lists the version only, and the row
+    // is fetched when its version is higher than the version in use.
     Json::Value listed;
     listed["prefix"] = std::string{config_row};
     auto rows = co_await m_platform.call("table.list", listed, m_limits.call_deadline);
@@ -57,9 +57,9 @@
 }
 
 asio::awaitable<void> config_follower::fetch_from_peer() {
-    // A machine that is replaced during a platform outage starts without a configuration. The configuration of another
-    // proxy has been accepted before, and it is applied only if its version is newer, so fetching it cannot revert
-    // anything.
+    // A proxy that is started during an outage of the platform has no configuration and asks another proxy. This cannot
+    // replace a configuration by an older one: the other proxy has already accepted its configuration, and `apply`
+    // ignores any version that is not newer than the one in use.
     if (m_peers.empty()) {
         co_return;
     }
@@ -72,7 +72,8 @@
 
 void config_follower::apply(const Json::Value& row) {
     const auto version = rpc::uint_field(row, "version");
-    // A delayed answer or an outdated peer may return a lower version; the configuration in force never reverts.
+    // A delayed response, or another proxy with an outdated configuration, may return a lower version. Ignore it, so
+    // that the version in use never decreases.
     if (version <= m_version) {
         return;
     }
--- a/src/cornellever/proxy/config_follower.hpp
+++ b/src/cornellever/proxy/config_follower.hpp
@@ -12,7 +12,7 @@
 
 namespace cornellever::proxy {
 
-/// Key of the applied configuration in the platform's table, a key-value store shared by all machines.
+/// Key of the applied configuration in the platform's table, a key-value store with versioned rows.
 inline constexpr std::string_view config_row = "config/current";
 
 /// Interval between polls for a newer configuration, and deadline of one call.
--- a/src/cornellever/proxy/confirmer.cpp
+++ b/src/cornellever/proxy/confirmer.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// How long one call may wait at the replica. The call's deadline is a little longer, to detect a dead connection.
+/// How long a replica may delay its response until it holds the requested log position. The deadline of the call is a
+/// little longer, so that a missing response means a dead connection.
 constexpr auto poll_wait = std::chrono::milliseconds{300};
 constexpr auto poll_deadline = std::chrono::milliseconds{450};
 constexpr auto poll_retry_pause = std::chrono::milliseconds{30};
@@ -59,7 +60,7 @@
 }
 
 void confirmer::record_refusal(replica_poll& from, std::uint64_t term) {
-    // The replica has accepted a later term and will never confirm writes of this one.
+    // The replica has accepted a later term and will never confirm writes of this term.
     std::erase_if(from.writes, [&](auto* item) {
         if (item->entry.term != term) {
             return false;
--- a/src/cornellever/proxy/control.cpp
+++ b/src/cornellever/proxy/control.cpp
@@ -122,8 +122,8 @@
 }
 
 std::chrono::milliseconds control::heartbeat_pause(std::string_view key) const {
-    // While a database's primary is overdue, its members are polled more often: another proxy may perform the
-    // failover, and then this one learns of the new primary only from its heartbeats.
+    // While a database's primary is overdue, send heartbeats to the database's instances more often: another proxy may
+    // perform the failover, and then this proxy learns of the new primary only from a heartbeat.
     const auto* self = m_topology.find(key);
     if (self == nullptr) {
         return m_limits.heartbeat_interval;
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -19,13 +19,13 @@
 
 namespace cornellever::proxy {
 
-/// One backend instance of the database that a failover runs for.
+/// One backend instance of the database whose primary a failover replaces.
 struct group_member {
     std::string key;
     tcp::endpoint address;
-    /// True if the instance's machine is leaving (being taken out of service) or the instance is the primary to
-    /// replace. Such an instance is promoted only if the other fenced members are no majority by themselves. Otherwise
-    /// a primary that is cut off from its replicas could be chosen again: its log is the longest because of writes that
+    /// True if the instance's machine is leaving (being taken out of service) or the instance is the current primary.
+    /// Such an instance is promoted only if the other fenced members are not a majority by themselves. Otherwise a
+    /// primary that is cut off from its replicas could be promoted again: its log is the longest because of writes that
     /// no other member holds, but it would still be cut off.
     bool not_preferred{false};
 };
@@ -43,7 +43,7 @@
     term_position log_end;
 };
 
-/// Access to the records in the platform's table, a key-value store shared by all proxies.
+/// Access to the records in the platform's table, a key-value store with versioned rows.
 template <typename T>
 concept record_store = requires(T store, std::string_view database, const group_record& record,
                                 std::uint64_t expected) {
@@ -240,8 +240,9 @@
         co_return "majority_fenced";
     }
 
-    /// Returns the fenced member with the longest log. Considers only members without `not_preferred` if those alone
-    /// are a majority and so hold every acknowledged write; otherwise considers all.
+    /// Returns the fenced member with the latest `log_end`. Considers only members without `not_preferred` if those
+    /// alone are a majority, since a majority includes an instance that holds every acknowledged write; otherwise
+    /// considers all.
     [[nodiscard]] static group_member choose(std::span<const fenced_member> fenced, std::size_t quorum) {
         const auto preferred = [](const fenced_member& item) { return !item.member.not_preferred; };
         const bool preferred_suffice = std::cmp_greater_equal(std::ranges::count_if(fenced, preferred), quorum);
--- a/src/cornellever/proxy/main.cpp
+++ b/src/cornellever/proxy/main.cpp
@@ -17,7 +17,7 @@
 
 constexpr auto sweep_period = std::chrono::seconds{1};
 
-/// Prints the findings to stderr; returns whether there were none.
+/// Prints the problems found in the settings to stderr; returns true if there are none.
 bool print_findings(const std::vector<ini::finding>& findings) {
     for (const auto& item : findings) {
         std::fprintf(stderr, "%s\n", ini::to_string(item).c_str());
--- a/src/cornellever/proxy/platform_store.cpp
+++ b/src/cornellever/proxy/platform_store.cpp
@@ -11,7 +11,8 @@
     , m_deadline{deadline} {}
 
 asio::awaitable<result<Json::Value>> platform_store::call(std::string_view method, Json::Value params) {
-    // Failovers are rare, so each call opens a new connection: one kept since the last call could have died unnoticed.
+    // Open a new connection for each call: failovers are rare, and a connection kept since the last one could have been
+    // broken unnoticed.
     rpc::channel channel{m_executor, m_platform};
     co_return co_await channel.call(method, params, m_deadline);
 }
--- a/src/cornellever/proxy/pool.cpp
+++ b/src/cornellever/proxy/pool.cpp
@@ -63,8 +63,8 @@
     while (!m_idle.empty()) {
         auto connection = std::move(m_idle.back());
         m_idle.pop_back();
-        // The backend may have closed it in the meantime (a restart, an idle timeout). A request sent on it would end
-        // as `outcome_unknown`.
+        // The backend server may have closed the idle connection (a restart, an idle timeout). The outcome of a request
+        // sent on a closed connection would be unknown.
         if (!connection->stale()) {
             return connection;
         }
@@ -114,8 +114,8 @@
 void pool::release(channel_ptr connection) {
     m_in_use.erase(connection.get());
     if (!connection->usable() || m_open > m_budget || m_retired) {
-        // A connection whose last call failed may still hold that call's transaction open on the backend; closing it
-        // makes the backend roll back.
+        // If the last call on the connection failed, the backend server may still have that call's transaction open.
+        // Closing the connection makes the server roll the transaction back.
         if (!connection->usable()) {
             log_event(event::connection_broken, "instance=" + to_string(m_peer));
         }
--- a/src/cornellever/proxy/primary_health.cpp
+++ b/src/cornellever/proxy/primary_health.cpp
@@ -20,7 +20,8 @@
     return best;
 }
 
-/// How long ago the replica last heard from its primary, including the time since its own heartbeat.
+/// Returns the time since the replica's last contact with its primary: the age that the replica reported in its last
+/// heartbeat plus the time since that heartbeat.
 std::chrono::steady_clock::duration time_since_primary_contact(const instance_view& replica, time_point now) {
     return std::chrono::milliseconds{replica.primary_contact_age_ms} + (now - replica.last_heartbeat_at);
 }
--- a/src/cornellever/proxy/primary_monitor.cpp
+++ b/src/cornellever/proxy/primary_monitor.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Range of the backoff after a failover attempt that did not promote an instance.
+/// First and longest pause after a failover attempt that did not promote an instance.
 constexpr auto initial_retry_pause = std::chrono::milliseconds{200};
 constexpr auto max_retry_pause = std::chrono::milliseconds{1600};
 
@@ -82,8 +82,8 @@
 }
 
 asio::awaitable<void> primary_monitor::replace_if_peers_agree(std::string service, std::string database) {
-    // The network partition may affect only this proxy. Other proxies may still use the primary, and replacing it
-    // would abort their transactions.
+    // A network partition may cut off only this proxy from the primary. Other proxies may still use the primary, and
+    // replacing it would abort their transactions.
     const auto observations = co_await query_peers(service, database);
     if (peers_confirm_unreachable(observations)) {
         co_await replace(std::move(service), std::move(database), false);
@@ -118,8 +118,8 @@
     const auto fields = "database=" + database + " term=" + std::to_string(outcome.term);
     if (!outcome.promoted()) {
         log_event(event::failover_given_up, fields + " reason=" + outcome.event);
-        // When a data centre fails, every proxy attempts failovers of many databases. The backoff limits the load on
-        // the platform to a few attempts per second and database.
+        // When a data centre fails, every proxy attempts failovers of many databases. The pause limits the load on the
+        // platform to a few attempts per second for each database.
         co_await sleep_for(retry.next());
         co_return;
     }
--- a/src/cornellever/proxy/read_path.cpp
+++ b/src/cornellever/proxy/read_path.cpp
@@ -9,17 +9,19 @@
 
 namespace {
 
-/// Most replicas tried per round.
+/// Maximum number of replicas tried in one round.
 constexpr std::size_t max_replica_attempts = 2;
 
-/// Pause between rounds while waiting for a replica to catch up, and between attempts on a primary that refused.
+/// Pause between rounds while waiting for a replica to catch up (`catch_up_poll_interval`), and before a read is sent
+/// to the primary again after a failed attempt (`primary_retry_pause`).
 constexpr auto catch_up_poll_interval = std::chrono::milliseconds{5};
 constexpr auto primary_retry_pause = std::chrono::milliseconds{20};
 
-/// A read without an answer by then is sent to another instance: it changes nothing, so it may run twice.
+/// Time after which a read without a response is sent again, to another instance or to the primary. This is safe
+/// because a read changes nothing and may run twice.
 constexpr auto attempt_deadline = std::chrono::milliseconds{1000};
 
-/// Errors of the statement itself, which are the same on every instance.
+/// Whether the error is caused by the statement itself and so would be the same on every instance.
 bool is_statement_error(const error& failure) {
     return failure.code == errc::bad_request || failure.code == errc::conflict;
 }
@@ -35,7 +37,8 @@
         if (!out || !out->isNull()) {
             co_return out;
         }
-        // A session without writes does not need a replica to catch up.
+        // A session that has not written to this database has no write that a replica would have to catch up with, so
+        // waiting would not help.
         if (!wrote || clock::now() + catch_up_poll_interval >= wait_until) {
             break;
         }
--- a/src/cornellever/proxy/request.cpp
+++ b/src/cornellever/proxy/request.cpp
@@ -7,7 +7,7 @@
 constexpr std::size_t max_name_bytes = 200;
 constexpr std::int64_t max_deadline_ms = 60'000;
 
-/// Reads an optional string field of bounded length into `out`.
+/// Reads the string field `field`, which may be missing and has a maximum length, into `out`.
 result<void> read_name(const Json::Value& in, const char* field, std::string& out) {
     if (!in.isMember(field)) {
         return {};
@@ -44,7 +44,7 @@
     return {};
 }
 
-/// Runs the steps in order until one fails.
+/// Calls the steps in order until one fails, and returns the result of the last step called.
 template <typename... Steps>
 result<void> in_order(Steps... steps) {
     result<void> out;
@@ -52,8 +52,8 @@
     return out;
 }
 
-/// The fields common to `execute` and `begin`: the target database, the request's id and kind, its deadline and its
-/// session.
+/// Reads the fields common to `execute` and `begin`: the service and database, the kind and id of the request, its
+/// deadline and its session token.
 template <typename Request>
 result<void> read_addressing(const Json::Value& in, Request& out) {
     return in_order(
--- a/src/cornellever/proxy/request_record.cpp
+++ b/src/cornellever/proxy/request_record.cpp
@@ -12,7 +12,7 @@
 constexpr auto insert_answer = "INSERT INTO cornellever_requests (request_id, answer, recorded_ms) VALUES (?, ?, ?)";
 constexpr auto delete_old = "DELETE FROM cornellever_requests WHERE recorded_ms < ?";
 
-/// Expired records are deleted once per this many new ones.
+/// Number of added records after which expired records are deleted.
 constexpr std::uint64_t delete_every = 512;
 
 Json::Value statement(const char* sql) {
@@ -69,7 +69,8 @@
 }
 
 void request_record::note_committed(const instance_view& primary) {
-    // Valid for this term only: a failover may lose a table whose creation was not confirmed.
+    // The table is known to exist in the current term only: if the creation of the table was not yet replicated to a
+    // majority, a failover may have lost the table.
     m_tables.emplace(database_key(primary.service, primary.database), primary.term);
 }
 
--- a/src/cornellever/proxy/router.cpp
+++ b/src/cornellever/proxy/router.cpp
@@ -11,8 +11,8 @@
 
 constexpr auto draining_retry_after = std::chrono::milliseconds{100};
 
-/// Refuses, before anything runs, a request of a kind that must not be repeated if it has no request id by which a
-/// repetition would be recognised.
+/// Refuses a request without a request id if the service lists the request's kind as one that must not be repeated:
+/// without an id, the proxy could not recognise a repeated request. Called before anything runs.
 result<void> check_request_id(const config::service& service, const std::string& kind, const std::string& request_id) {
     if (request_id.empty() && std::ranges::find(service.non_repeatable, kind) != service.non_repeatable.end()) {
         return fail(errc::bad_request, "'" + kind + "' may not be repeated: give it a request_id");
--- a/src/cornellever/proxy/transaction_table.cpp
+++ b/src/cornellever/proxy/transaction_table.cpp
@@ -10,8 +10,8 @@
 
 constexpr auto retry_pause = std::chrono::milliseconds{20};
 
-/// Whether the outcome of a commit can be learnt only from the record of request ids: the answer was lost, or the id
-/// was already recorded.
+/// Whether the outcome of a failed commit must be looked up in the record of request ids: the response to the commit
+/// was lost, or the request's id was already recorded.
 bool outcome_needs_record(const error& failure) noexcept {
     return !guarantees_not_executed(failure.code) || failure.code == errc::conflict;
 }
@@ -24,7 +24,8 @@
 
 } // namespace
 
-/// Lives as long as the caller's connection and rolls back its transactions on destruction.
+/// Destroyed with the caller's connection to the proxy; the destructor rolls back all transactions that were begun on
+/// that connection.
 struct transaction_table::caller_state : rpc::connection_state {
     caller_state(transaction_table& table, std::uint64_t caller) : m_table{table}, m_caller{caller} {}
     ~caller_state() override { m_table.roll_back_all_of(m_caller); }
@@ -124,22 +125,22 @@
     transaction.busy = false;
     transaction.last_used = clock::now();
     if (out && out->isObject() && (*out)["in_transaction"] == false) {
-        // The backend had ended the transaction (a restart, a change of role) and ran this statement outside of it,
-        // which the caller did not ask for.
+        // The backend server had already ended the transaction (a restart, a failover) and ran this statement outside
+        // of any transaction, so the statement may have taken effect by itself.
         m_open.erase(request.transaction);
         co_return fail(errc::outcome_unknown,
                        "transaction " + request.transaction + " had ended when this statement ran");
     }
     if (out) {
         auto served = statement_answer(*out, request.session, transaction.primary);
-        served.removeMember("served_by"); // `begin` already returned it
+        served.removeMember("served_by"); // the response to `begin` contained it
         served["transaction"] = request.transaction;
         co_return served;
     }
     const bool ended = !transaction.connection->usable() || out.error().code == errc::fenced;
     if (ended) {
-        // COMMIT was never sent, and the backend rolls back a transaction whose connection was closed or whose primary
-        // was replaced.
+        // The transaction cannot commit any more: COMMIT was never sent, and a backend server rolls back a transaction
+        // when its connection closes or the server is replaced as primary.
         m_open.erase(request.transaction);
         co_return fail(errc::not_run,
                        "transaction " + request.transaction + " was rolled back: " + out.error().message);
@@ -174,7 +175,7 @@
                                                     Json::Value{Json::objectValue}, time_left(until));
         if (!added) {
             transaction.connection.discard();
-            // A conflict means that the same id was committed elsewhere in the meantime.
+            // A conflict means that another attempt with the same request id has committed in the meantime.
             const auto code = added.error().code == errc::conflict ? errc::conflict : errc::not_run;
             co_return fail(code, "the transaction was rolled back: " + added.error().message);
         }
@@ -224,8 +225,8 @@
         const auto& [id, transaction] = item;
         const bool abandoned = !transaction.busy && now - transaction.last_used >= transaction.idle_limit;
         if (abandoned) {
-            // Erasing closes the pinned connection, so the backend rolls the transaction back before that connection
-            // could be reused.
+            // Erasing the entry closes its backend connection. The connection is not returned to the pool, and the
+            // backend server rolls the transaction back.
             log_event(event::transaction_abandoned, "transaction=" + id + " reason=idle");
         }
         return abandoned;
--- a/src/cornellever/proxy/write_path.cpp
+++ b/src/cornellever/proxy/write_path.cpp
@@ -18,8 +18,8 @@
     return std::min(write_attempt_deadline, time_left(until));
 }
 
-/// Maps an error before COMMIT was sent. Closing the connection makes the backend roll back, so even a step without an
-/// answer has not taken effect.
+/// Converts the error of a step before COMMIT into one that allows a retry. The connection has been closed or the
+/// transaction rolled back, so the step has not taken effect even if its response was lost.
 error as_not_committed(const error& failure) {
     if (guarantees_not_executed(failure.code)) {
         return failure;
@@ -65,8 +65,9 @@
         auto found =
             co_await m_backends.call(*new_primary, "find_entry", payload,
                                      std::min(m_backends.limits().pool_wait, time_left(until)), attempt_time(until));
-        // The new primary's log is final only once a majority holds it: it ends with an entry of its own term, so no
-        // later primary can lack it.
+        // The log of the new primary is final once a majority holds it up to its end: its last entries are of the new
+        // primary's own term, so every later primary has them too. Before that, another failover could still change the
+        // result.
         if (found && co_await m_backends.confirm(*new_primary, position_from(*found), time_left(until))) {
             co_return (*found)["held"].asBool();
         }
@@ -125,8 +126,9 @@
             co_await sleep_for(retry_pause);
             continue;
         }
-        // An earlier attempt may have committed. The only proof that nothing ran is a refusal of the statement itself
-        // after the record had no entry for the id; failing to read the record proves nothing.
+        // An earlier attempt may have committed. The only proof that no attempt has is an error of the statement itself
+        // in the last attempt, because the statement runs only after the record was found to have no entry for the id.
+        // An error while reading the record proves nothing.
         const bool resolved = !retryable && target.has_value();
         if (in_doubt && !resolved) {
             co_return fail_with_retry_after(errc::outcome_unknown,
@@ -194,12 +196,12 @@
 
 answer write_path::answer_from_record(const instance_view& primary, request_record::outcome found, session_token token,
                                       clock::time_point until) {
-    // The record may be recent and not yet replicated: it is returned only once a majority holds the log up to this
-    // point.
+    // The record may be recent and not yet replicated, so its response is returned only once a majority holds the log
+    // up to the position at which the record was read.
     auto confirmed = co_await acknowledge(primary, found.log_end, token, until);
     if (!confirmed) {
-        // `log_end` is the end of the log when the record was read. The record itself is at an earlier position and
-        // may survive although the end was dropped.
+        // Not reported as `not_run`: `log_end` is the end of the log when the record was read, and the record itself is
+        // at an earlier position. The record may have survived a failover that dropped the end of the log.
         co_return fail(errc::outcome_unknown, confirmed.error().message);
     }
     log_event(event::request_repeated, "instance=" + primary.key);
--- a/src/cornellever/proxy/write_path.hpp
+++ b/src/cornellever/proxy/write_path.hpp
@@ -26,8 +26,9 @@
     /// Serves a statement with a request id, which takes effect at most once; `until` is the deadline.
     answer serve_idempotent(const execute_request& request, clock::time_point until);
 
-    /// Returns the recorded response of `request_id`, once a majority holds the record. Returns null if the request has
-    /// not taken effect and no longer can, because each attempt at it ran in a transaction of its own. Errors:
+    /// Returns the recorded response of `request_id`, once a majority holds the record. Returns null if no earlier
+    /// attempt at the request has taken effect or still can: each attempt runs in a transaction of its own, and opening
+    /// the look-up's transaction waits for the primary's write lock, so the attempts have ended. Errors:
     /// `outcome_unknown` if the outcome could not be determined by `until`.
     answer outcome_of(const std::string& service, const std::string& database, const std::string& request_id,
                       session_token& token, clock::time_point until);
