--- a/src/cornellever/proxy/backend_connections.hpp
+++ b/src/cornellever/proxy/backend_connections.hpp
@@ -51,7 +51,7 @@
     /// `proxies` is the number of running proxies, which share each instance's connections equally.
     void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies);
 
-    /// The backend instances with their last reported state.
+    /// Returns the backend instances with their last reported state.
     [[nodiscard]] topology& known_instances() noexcept { return m_topology; }
     [[nodiscard]] const topology& known_instances() const noexcept { return m_topology; }
 
--- a/src/cornellever/proxy/config_follower.hpp
+++ b/src/cornellever/proxy/config_follower.hpp
@@ -12,7 +12,8 @@
 
 namespace cornellever::proxy {
 
-/// Key of the applied configuration in the platform's table, a key-value store with versioned rows.
+/// Key of the applied configuration in the table of the platform, the service that lists the machines and keeps a small
+/// key-value store with versioned rows.
 inline constexpr std::string_view config_row = "config/current";
 
 /// Interval between polls for a newer configuration, and deadline of one call.
@@ -30,7 +31,7 @@
     config_follower(asio::any_io_executor executor, tcp::endpoint platform, std::vector<tcp::endpoint> peers,
                     follower_limits limits, std::function<void(config::cluster)> on_newer);
 
-    /// Polls until the executor stops.
+    /// Polls in a loop until the executor stops.
     asio::awaitable<void> run();
 
 private:
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -29,8 +29,9 @@
 };
 
 /// The control plane of a proxy, run on its own thread: sends heartbeats to every instance of the current
-/// configuration, polls the platform's list of machines, starts failovers through `primary_monitor`, and passes the
-/// results to the router on the traffic thread, which serves callers.
+/// configuration, polls the list of machines from the platform (the service that lists the machines and keeps a small
+/// table of shared data), starts failovers through `primary_monitor`, and passes the results to the router on the
+/// traffic thread, which serves callers (client applications).
 class control {
 public:
     control(asio::any_io_executor control_executor, asio::any_io_executor traffic, router& traffic_router,
--- a/src/cornellever/proxy/pooled_connection.hpp
+++ b/src/cornellever/proxy/pooled_connection.hpp
@@ -59,7 +59,7 @@
         m_owner->discard(std::move(m_connection));
     }
 
-    /// The pool that the connection belongs to.
+    /// Returns the pool that the connection belongs to.
     [[nodiscard]] pool& owner() const noexcept { return *m_owner; }
 
 private:
--- a/src/cornellever/proxy/request.hpp
+++ b/src/cornellever/proxy/request.hpp
@@ -26,9 +26,11 @@
     intent mode{intent::write};
     std::string transaction;
     session_token session;
-    /// The kind of request, matched against the service's `non_repeatable` list.
+    /// The kind of the request, chosen by the caller. A request whose kind is in the service's `non_repeatable` list
+    /// needs a request id.
     std::string kind;
-    /// If not empty, the request takes effect at most once, however often it is sent with this id.
+    /// If not empty, the request takes effect at most once, however often it is sent with this id within
+    /// `request_id_retention`.
     std::string request_id;
     std::chrono::milliseconds deadline{default_request_deadline};
 };
@@ -49,13 +51,13 @@
     session_token session;
 };
 
-/// Decodes `execute` params. Errors: `bad_request` naming the field.
+/// Decodes the parameters of `execute`. Errors: `bad_request` naming the field.
 [[nodiscard]] result<execute_request> decode_execute(const Json::Value& in);
 
-/// Decodes `begin` params. Errors: `bad_request` naming the field.
+/// Decodes the parameters of `begin`. Errors: `bad_request` naming the field.
 [[nodiscard]] result<begin_request> decode_begin(const Json::Value& in);
 
-/// Decodes `commit` and `rollback` params. Errors: `bad_request`.
+/// Decodes the parameters of `commit` and `rollback`. Errors: `bad_request`.
 [[nodiscard]] result<finish_request> decode_finish(const Json::Value& in);
 
 } // namespace cornellever::proxy
--- a/src/cornellever/proxy/request_record.hpp
+++ b/src/cornellever/proxy/request_record.hpp
@@ -12,7 +12,7 @@
 
 namespace cornellever::proxy {
 
-/// How long request ids are kept.
+/// How long the ids of requests are kept and so how long a repeated request is recognised.
 inline constexpr auto request_id_retention = std::chrono::hours{48};
 
 /// The record of the ids of requests that took effect. The record is a table in the caller's database, written in the
--- a/src/cornellever/proxy/settings.hpp
+++ b/src/cornellever/proxy/settings.hpp
@@ -15,7 +15,7 @@
     std::string zone;
     std::string listen;
     std::string platform;
-    /// Addresses of other proxies, separated by commas.
+    /// Addresses of the other proxies, separated by commas.
     std::string peers;
 };
 
--- a/src/cornellever/proxy/topology.hpp
+++ b/src/cornellever/proxy/topology.hpp
@@ -104,7 +104,7 @@
     /// Returns all instances, for the state dump.
     [[nodiscard]] Json::Value describe(std::chrono::steady_clock::time_point now) const;
 
-    /// All instances by key.
+    /// Returns all instances by key.
     [[nodiscard]] const std::map<std::string, instance_view, std::less<>>& instances() const noexcept {
         return m_instances;
     }
--- a/src/cornellever/proxy/write_path.hpp
+++ b/src/cornellever/proxy/write_path.hpp
@@ -39,7 +39,7 @@
     asio::awaitable<result<void>> acknowledge(const instance_view& primary, term_position entry, session_token& token,
                                               clock::time_point until);
 
-    /// The record of request ids.
+    /// Returns the record of request ids.
     [[nodiscard]] request_record& record() noexcept { return m_record; }
 
 private:
