--- a/src/cornellever/proxy/request.hpp
+++ b/src/cornellever/proxy/request.hpp
@@ -10,11 +10,11 @@
 
 namespace cornellever::proxy {
 
-/// Deadline of a request whose caller sets none.
+/// Deadline of a request for which the caller (the client application) sets none.
 inline constexpr auto default_request_deadline = std::chrono::milliseconds{5000};
 
-/// Whether the caller declared the statement read-only. Only declared reads may go to replicas, and replicas refuse
-/// every write.
+/// Whether the caller declared the statement read-only. Only statements declared as reads are sent to replicas, and
+/// replicas refuse every write.
 enum class intent { read, write };
 
 /// A decoded and validated `execute` request.
@@ -26,9 +26,11 @@
     intent mode{intent::write};
     std::string transaction;
     session_token session;
-    /// The kind of request, matched against the service's `non_repeatable` list.
+    /// The kind of the request, chosen by the caller. A request whose kind is in the service's `non_repeatable` list
+    /// needs a request id.
     std::string kind;
-    /// If set, the request takes effect at most once under this id.
+    /// If not empty, the request takes effect at most once, however often it is sent with this id within
+    /// `request_id_retention`.
     std::string request_id;
     std::chrono::milliseconds deadline{default_request_deadline};
 };
@@ -49,13 +51,13 @@
     session_token session;
 };
 
-/// Decodes `execute` params. Errors: `bad_request` naming the field.
+/// Decodes the parameters of `execute`. Errors: `bad_request` naming the field.
 [[nodiscard]] result<execute_request> decode_execute(const Json::Value& in);
 
-/// Decodes `begin` params. Errors: `bad_request` naming the field.
+/// Decodes the parameters of `begin`. Errors: `bad_request` naming the field.
 [[nodiscard]] result<begin_request> decode_begin(const Json::Value& in);
 
-/// Decodes `commit` and `rollback` params. Errors: `bad_request`.
+/// Decodes the parameters of `commit` and `rollback`. Errors: `bad_request`.
 [[nodiscard]] result<finish_request> decode_finish(const Json::Value& in);
 
 } // namespace cornellever::proxy
