--- a/src/cornellever/core/asio.hpp
+++ b/src/cornellever/core/asio.hpp
@@ -14,7 +14,8 @@
 using tcp = boost::asio::ip::tcp;
 
 /// Parses `host:port`, where the host is a numeric IP address; names are not
-/// resolved. Returns false, with `out` unchanged, when `text` has another form.
+/// resolved. Returns false and leaves `out` unchanged when `text` has another
+/// form.
 [[nodiscard]] bool parse_endpoint(std::string_view text, tcp::endpoint& out);
 
 /// Formats an endpoint as `address:port`.
--- a/src/cornellever/core/boot_clock.hpp
+++ b/src/cornellever/core/boot_clock.hpp
@@ -6,9 +6,9 @@
 namespace cornellever {
 
 /// A monotonic clock that also advances while the VM is suspended
-/// (CLOCK_BOOTTIME). Ages of samples, leases and other observations of remote
-/// processes are measured with it: the steady clock stops during a suspend, so
-/// that they would look fresh after the resume although they are outdated.
+/// (CLOCK_BOOTTIME). The ages of leases and of data from other processes are
+/// measured with this clock: the steady clock stops during a suspend, so that
+/// outdated data would look recent after the VM resumes.
 struct boot_clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -23,7 +23,8 @@
     }
 };
 
-/// The duration in whole milliseconds, rounded towards zero; for logs and messages.
+/// Converts a duration to whole milliseconds, rounded towards zero, for logs and
+/// messages.
 template <typename Duration>
 [[nodiscard]] constexpr long long to_ms(Duration span) noexcept {
     return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
--- a/src/cornellever/core/event.hpp
+++ b/src/cornellever/core/event.hpp
@@ -23,7 +23,7 @@
     settings_reloaded = 1104,
     registry_loaded = 1105,
     registration_refused = 1106,
-    /// A change of a followed table could not be processed.
+    /// A change in a table of the metadata store could not be processed.
     table_not_taken = 1107,
     store_lost = 1110,
     store_regained = 1111,
@@ -39,7 +39,7 @@
     failover_given_up = 1205,
     primary_found = 1206,
     primary_lost = 1207,
-    /// The assessment of a primary's health has changed.
+    /// The proxy's assessment of a primary's health has changed.
     primary_judged = 1208,
     promotion_step = 1209,
     member_joined = 1210,
@@ -51,7 +51,8 @@
     // Connection pools, sessions, requests and logging.
     pool_exhausted = 1301,
     connection_broken = 1302,
-    /// An open transaction was dropped because its caller was gone or idle too long.
+    /// An open transaction was dropped because its caller (a client application)
+    /// had disconnected or was idle for too long.
     transaction_abandoned = 1303,
     /// A replica did not serve a read; another server is tried.
     replica_fallback = 1304,
@@ -67,7 +68,7 @@
     outcome_unknown = 1312,
     transaction_failed = 1313,
     request_served = 1314,
-    /// A server has not answered within its usual time.
+    /// A server has not replied within its usual time.
     answer_overdue = 1315,
     session_relayed = 1316,
     request_forbidden = 1317,
--- a/src/cornellever/core/log.cpp
+++ b/src/cornellever/core/log.cpp
@@ -71,8 +71,8 @@
     }
 }
 
-/// Writes log lines on its own thread: when the reader of standard output stops
-/// reading, only this thread blocks.
+/// Writes log lines on a separate thread, so that only this thread blocks when
+/// the reader of standard output stops reading.
 class background_writer {
 public:
     void start() {
@@ -90,8 +90,8 @@
         m_wake.notify_one();
     }
 
-    /// Writes the queued lines, for at most `limit`; after that the thread is
-    /// detached, since it may be blocked in a write.
+    /// Writes the queued lines for at most `limit`. If the thread has not
+    /// finished by then, it is detached, since it may be blocked in a write.
     void stop(std::chrono::milliseconds limit) {
         std::unique_lock lock{m_mutex};
         m_stopping = true;
@@ -138,7 +138,8 @@
     bool m_finished{false};
 };
 
-/// Never destroyed: its thread may block on standard output beyond the end of `main`.
+/// Never destroyed, because the writer's thread may block on standard output
+/// beyond the end of `main`.
 background_writer& writer() {
     static auto* const instance = new background_writer;
     return *instance;
--- a/src/cornellever/core/log.hpp
+++ b/src/cornellever/core/log.hpp
@@ -8,8 +8,9 @@
 
 namespace cornellever {
 
-/// Initializes easylogging++: one line per event on standard output, tagged with
-/// the name of the process's role. Events below `minimum` are not logged.
+/// Initializes easylogging++ to write one line per event to standard output,
+/// tagged with the process's role (see role.hpp). Events below the severity
+/// `minimum` are not logged.
 void init_logging(std::string_view role, severity minimum);
 
 /// Changes the minimum severity while the process runs.
@@ -22,13 +23,15 @@
 /// standard output; lines that exceed the bounds of `log_queue` are dropped.
 void start_background_log();
 
-/// Writes the queued lines, for at most `limit`, and stops that thread.
+/// Stops the thread that writes the log, after writing the queued lines for at
+/// most `limit`.
 void stop_background_log(std::chrono::milliseconds limit);
 
 /// The number of log lines dropped since the start.
 [[nodiscard]] std::uint64_t log_lines_dropped();
 
-/// Whether events of this severity are logged; lets callers skip formatting.
+/// Whether events of this severity are logged. Check this before formatting
+/// costly fields.
 [[nodiscard]] bool log_enabled(severity level) noexcept;
 
 /// Logs an event as `CL<number> <name> <fields>`; `fields` are `key=value` pairs.
--- a/src/cornellever/core/quorum.hpp
+++ b/src/cornellever/core/quorum.hpp
@@ -9,8 +9,8 @@
     return members / 2 + 1;
 }
 
-/// The number of replicas that must acknowledge a write so that, with the
-/// primary, a majority holds it.
+/// The number of replicas that must acknowledge a write so that a majority of the
+/// members, including the primary, holds the write.
 [[nodiscard]] constexpr std::size_t required_replica_acks(std::size_t members) noexcept {
     return majority_of(members) - 1;
 }
--- a/src/cornellever/core/role.hpp
+++ b/src/cornellever/core/role.hpp
@@ -4,8 +4,9 @@
 
 namespace cornellever {
 
-/// Entry point of a role, which is the first command-line argument. `args` starts
-/// with the role's name, followed by its own arguments. Returns the exit status.
+/// Entry point of a process role (proxy, backend server, command-line tool and so
+/// on), which the first command-line argument selects. `args` starts with the
+/// role's name, followed by the role's own arguments. Returns the exit status.
 using role_main = int (*)(std::span<char*> args);
 
 int platform_main(std::span<char*> args);
--- a/src/cornellever/ctl/apply.cpp
+++ b/src/cornellever/ctl/apply.cpp
@@ -60,8 +60,8 @@
     if (written.error().code != errc::outcome_unknown) {
         return std::unexpected{written.error()};
     }
-    // The write may have taken effect. It did if the row now has the written
-    // value at the next version.
+    // The response was lost, so the write may have taken effect. This is the case
+    // if the row now has the written value at the next version.
     auto after = read_row(platform);
     if (after && (*after)["version"].asUInt64() == applied + 1 && (*after)["value"] == value) {
         return applied + 1;
--- a/src/cornellever/ctl/explain.hpp
+++ b/src/cornellever/ctl/explain.hpp
@@ -17,12 +17,13 @@
     bool decisive{false};
 };
 
-/// Appends the lines of `log`, the content of `file`, that have the request's id.
+/// Appends to `into` the lines of `log` that contain the request id `request`;
+/// `log` is the content of `file`.
 void collect_request_lines(std::string_view request, const std::string& file, std::string_view log,
                            std::vector<request_line>& into);
 
-/// Sorts the lines of all logs by time and marks as decisive the last one that
-/// reports how the request ended.
+/// Sorts the lines of all logs by time and marks as decisive the last line that
+/// reports the outcome of the request.
 void sort_request_lines(std::vector<request_line>& lines);
 
 } // namespace cornellever::ctl
--- a/src/cornellever/ctl/log_line.hpp
+++ b/src/cornellever/ctl/log_line.hpp
@@ -7,7 +7,7 @@
 
 namespace cornellever::ctl {
 
-/// A parsed log line of an event; all members are views into the line.
+/// A parsed log line that reports an event; all members are views into the line.
 struct log_line {
     /// ISO 8601 date and time with milliseconds.
     std::string_view timestamp;
@@ -22,12 +22,12 @@
     [[nodiscard]] long long milliseconds(std::string_view name) const;
 };
 
-/// Finds the timestamp of a line, which may follow a prefix written by a log
-/// collector; empty when there is none.
+/// Returns the timestamp of a line, which may follow a prefix written by a log
+/// collector; empty when the line has no timestamp.
 [[nodiscard]] std::string_view timestamp_of(std::string_view line);
 
-/// Parses a line; `nullopt` when it is not that of an event. A field's value is
-/// quoted, or extends to the next ` name=`.
+/// Parses a line; `nullopt` when the line does not report an event. The value of
+/// a field is quoted or extends to the next ` name=`.
 [[nodiscard]] std::optional<log_line> parse_log_line(std::string_view line);
 
 } // namespace cornellever::ctl
--- a/src/cornellever/ctl/losses.cpp
+++ b/src/cornellever/ctl/losses.cpp
@@ -9,7 +9,7 @@
 /// Length of a timestamp without milliseconds.
 constexpr std::size_t length_to_second = 19;
 
-/// The reason without the retry hint that may follow a semicolon.
+/// Returns the reason without the retry hint that may follow a semicolon.
 std::string without_retry_hint(std::string_view reason) {
     return std::string{reason.substr(0, reason.find(';'))};
 }
--- a/src/cornellever/ctl/losses.hpp
+++ b/src/cornellever/ctl/losses.hpp
@@ -11,9 +11,9 @@
 
 namespace cornellever::ctl {
 
-/// The stage at which a request failed or was delayed: opening its session,
+/// The stage at which a request failed or was delayed: opening the session,
 /// waiting for a connection, waiting for a primary, the relay to another proxy,
-/// the backend server, or the limits and keys of its client account.
+/// the backend server, or the check of the client account's limits and keys.
 enum class loss_place { opening, queue, no_primary, relay, server, account };
 
 [[nodiscard]] std::string_view to_string(loss_place place) noexcept;
@@ -22,7 +22,8 @@
 struct loss_group {
     loss_place place{loss_place::queue};
     std::string reason;
-    /// The database instead when the log line has no service.
+    /// The name of the service, or of the database when the log line contains no
+    /// service.
     std::string service;
 
     friend auto operator<=>(const loss_group&, const loss_group&) = default;
@@ -38,8 +39,8 @@
 };
 
 /// Counts, from the logs of one or more proxies, the requests that were refused,
-/// failed or exceeded their latency target, and the attempts that failed at a
-/// server or another proxy and were retried.
+/// failed or exceeded their latency target. Also counts the attempts that failed
+/// at a server or another proxy and were retried.
 class loss_table {
 public:
     struct row {
@@ -50,11 +51,11 @@
     /// Adds all lines of a log.
     void add_log(std::string_view log);
 
-    /// The counts by group, the largest first.
+    /// The counts by group, sorted in descending order.
     [[nodiscard]] std::vector<row> rows() const;
 
-    /// The counts of all groups by second, as a timestamp without milliseconds;
-    /// attempts that were retried are not included.
+    /// The counts of all groups by second; the key is a timestamp without
+    /// milliseconds. Attempts that were retried are not included.
     [[nodiscard]] const std::map<std::string, loss_count, std::less<>>& per_second() const noexcept {
         return m_per_second;
     }
--- a/src/cornellever/ctl/main.cpp
+++ b/src/cornellever/ctl/main.cpp
@@ -73,7 +73,8 @@
     return ok;
 }
 
-/// Prints an error of the platform, for a conflict with the way to resolve it.
+/// Prints an error returned by the platform and, for a conflict, how to resolve
+/// it. Returns the exit status.
 int print_refusal(const error& refusal) {
     std::printf("refused (%s): %s\n", std::string{to_string(refusal.code)}.c_str(), refusal.message.c_str());
     if (refusal.code == errc::conflict) {
@@ -83,8 +84,8 @@
     return refusal.code == errc::unavailable ? unreachable : refused;
 }
 
-/// Checks a settings file or template of the role `serve`; the placeholders of a
-/// template are replaced by addresses.
+/// Checks a settings file of a proxy (role `serve`) or a template of such a file,
+/// whose placeholders are replaced by addresses for the check.
 int run_check_settings(const std::string& name) {
     std::ifstream file{name};
     if (!file) {
@@ -174,7 +175,8 @@
     return std::string{std::istreambuf_iterator<char>{file}, {}};
 }
 
-/// Prints the lost requests by place, reason and service, and their number by second.
+/// Prints the number of lost requests by stage, reason and service, and by
+/// second.
 int run_losses(std::span<const std::string> files) {
     ctl::loss_table table;
     for (const auto& name : files) {
@@ -196,7 +198,7 @@
     return ok;
 }
 
-/// Prints the log lines of a request, with a mark on the decisive one.
+/// Prints the log lines of a request and marks the decisive line.
 int run_explain(const std::string& request, std::span<const std::string> files) {
     std::vector<ctl::request_line> lines;
     for (const auto& name : files) {
@@ -234,7 +236,8 @@
     return all_ok ? ok : refused;
 }
 
-/// Prints the status of proxies of the role `serve`, and their problems.
+/// Prints the status and the problems of proxies, which are processes with the
+/// role `serve`.
 int run_serve_status(const std::vector<tcp::endpoint>& proxies) {
     std::vector<ctl::proxy_status> proxy_statuses;
     bool all_ok = true;
--- a/src/cornellever/ctl/proxy_status.hpp
+++ b/src/cornellever/ctl/proxy_status.hpp
@@ -10,25 +10,27 @@
 
 namespace cornellever::ctl {
 
-/// Summary of the state dump of a proxy of the role `serve`.
+/// Summary of the state dump of a proxy, which is a process with the role
+/// `serve`.
 struct proxy_status {
     std::string name;
     std::uint64_t config_version{0};
     std::uint64_t registry_version{0};
     std::uint64_t sessions{0};
     bool store_reachable{false};
+    /// The proxy is in a planned shutdown.
     bool leaving{false};
     std::size_t peers_alive{0};
-    /// By service, the key of the server that the proxy considers the primary;
-    /// empty when it knows none.
+    /// Maps each service to the key of the server that the proxy considers the
+    /// primary; the key is empty when the proxy knows no primary.
     std::map<std::string, std::string> primaries;
 };
 
-/// Parses a dump; missing or malformed fields are 0, empty or false.
+/// Parses a state dump; missing or malformed fields become 0, empty or false.
 [[nodiscard]] proxy_status parse_status(const Json::Value& dump);
 
-/// Lists the problems of the proxies, one line each: store unreachable, outdated
-/// configuration, unknown primary, different primaries. Empty when there are none.
+/// Lists the problems of the proxies, one per line: store unreachable, outdated
+/// configuration, unknown primary, proxies that disagree about a primary.
 [[nodiscard]] std::vector<std::string> find_problems(std::span<const proxy_status> proxies);
 
 /// Formats a status for display: one line, and one more for each service.
--- a/src/cornellever/rpc/channel.cpp
+++ b/src/cornellever/rpc/channel.cpp
@@ -92,8 +92,8 @@
             co_await http::async_read(m_stream, m_buffer, parser, asio::redirect_error(asio::use_awaitable, ec));
     }
     if (ec) {
-        // The request may have been executed: after sending, a timeout or a
-        // closed connection does not show whether the peer received it.
+        // The request may have been executed: a timeout or a closed connection
+        // after sending does not show whether the server received the request.
         close_as_broken();
         co_return fail(errc::outcome_unknown,
                        std::string{method} + " to " + describe(m_peer) + " got no whole answer: " + ec.message());
@@ -101,9 +101,9 @@
     m_stream.expires_never();
     const auto answer = parse_json(parser.get().body());
     if (!is_response_to(answer, id)) {
-        // The id of another request: the response is late or out of order.
-        // On this connection every later response could be matched with the
-        // wrong request, so it is closed.
+        // The response has the id of another request, so it is late or out of
+        // order. Later responses on this connection could also be matched with
+        // the wrong request, so the connection is closed.
         close_as_broken();
         co_return fail(errc::outcome_unknown, std::string{method} + " to " + describe(m_peer) +
                                                   " was answered with the answer to another request");
--- a/src/cornellever/rpc/channel.hpp
+++ b/src/cornellever/rpc/channel.hpp
@@ -15,30 +15,31 @@
 namespace cornellever::rpc {
 
 /// A client connection to an RPC server, kept open between calls. Calls on one
-/// channel must not overlap; a pool checks it out to one caller at a time.
+/// channel must not overlap; a connection pool gives a channel to one user at a
+/// time.
 class channel {
 public:
-    /// Does not connect yet; the first call does.
+    /// Does not connect; the first call connects.
     channel(asio::any_io_executor executor, tcp::endpoint peer);
 
-    /// Calls `method` with `params`. Connecting, sending and receiving the response
-    /// may take `time_limit` in all; with an `idle_timeout` that limit ends when the
-    /// response begins to arrive, and the rest is read as by
-    /// `read_with_idle_timeout`.
-    /// Errors: `unavailable` when no connection could be made or the channel is
-    /// unusable (the request was not sent); `outcome_unknown` when the request was
-    /// sent but no valid response arrived in time, which makes the channel
-    /// unusable; otherwise the error that the peer returned.
+    /// Calls `method` with `params`. `time_limit` covers connecting, sending and
+    /// receiving the response. With an `idle_timeout`, `time_limit` ends when the
+    /// response begins to arrive, and the rest of the response is read as by
+    /// `read_with_idle_timeout`. Errors: `unavailable` when no connection could
+    /// be made or the channel is unusable, so that the request was not sent;
+    /// `outcome_unknown` when the request was sent but no valid response arrived
+    /// in time, after which the channel is unusable; otherwise the error that the
+    /// server returned.
     asio::awaitable<result<Json::Value>> call(std::string_view method, const Json::Value& params,
                                               std::chrono::milliseconds time_limit,
                                               std::optional<std::chrono::milliseconds> idle_timeout = {});
 
-    /// Whether the peer closed this idle connection, or sent unsolicited data: the
-    /// outcome of a request sent on it would be unknown.
+    /// Whether the server has closed this idle connection or sent unsolicited
+    /// data. The outcome of a request sent on such a connection would be unknown.
     [[nodiscard]] bool stale();
 
-    /// False once a call has failed with `outcome_unknown` for lack of a valid
-    /// response: every later call is refused.
+    /// Returns false after a call has failed with `outcome_unknown` because no
+    /// valid response arrived. All later calls are then refused.
     [[nodiscard]] bool usable() const noexcept { return !m_broken; }
 
     [[nodiscard]] const tcp::endpoint& peer() const noexcept { return m_peer; }
@@ -52,7 +53,7 @@
 
 private:
     asio::awaitable<result<void>> connect();
-    /// Closes the connection for good: `usable` is false afterwards.
+    /// Closes the connection permanently; `usable` then returns false.
     void close_as_broken();
 
     boost::beast::tcp_stream m_stream;
@@ -65,8 +66,9 @@
     bool m_broken{false};
 };
 
-/// Makes one call on a new connection and blocks until the response or the time
-/// limit; for threads without an io_context, such as the command line's.
+/// Makes one call on a new connection and blocks until the response arrives or
+/// the time limit expires. For threads without an io_context, such as the main
+/// thread of the command-line tool.
 [[nodiscard]] result<Json::Value> call_blocking(const tcp::endpoint& peer, std::string_view method,
                                                 const Json::Value& params, std::chrono::milliseconds time_limit);
 
--- a/src/cornellever/rpc/fields.hpp
+++ b/src/cornellever/rpc/fields.hpp
@@ -10,12 +10,13 @@
 
 namespace cornellever::rpc {
 
-// Accessors for JSON received from other processes. jsoncpp's conversions throw
-// when a number is out of range; malformed input must not end the caller's loop
-// by an exception.
+// Accessors for fields of JSON received from other processes. jsoncpp's own
+// conversions throw when a number is out of range; such an exception would end
+// the loop that processes the messages of other processes.
 
-/// The integer `object[name]` when it is between 0 and `max_value`; `nullopt` when
-/// the field is missing or has another value, or `object` is not an object.
+/// Returns the integer `object[name]` if it is between 0 and `max_value`;
+/// `nullopt` when the field is missing or has another value, or `object` is not
+/// an object.
 [[nodiscard]] inline std::optional<std::uint64_t>
 optional_uint_field(const Json::Value& object, const char* name,
                     std::uint64_t max_value = std::numeric_limits<std::uint64_t>::max()) {
@@ -25,13 +26,13 @@
     return object[name].asUInt64();
 }
 
-/// As `optional_uint_field`, with 0 instead of `nullopt`.
+/// As `optional_uint_field`, but returns 0 instead of `nullopt`.
 [[nodiscard]] inline std::uint64_t uint_field(const Json::Value& object, const char* name) {
     return optional_uint_field(object, name).value_or(0);
 }
 
-/// The number `object[name]` as milliseconds, truncated to an integer and capped at
-/// 24 hours; 0 when it is negative, not a number or missing.
+/// Returns the number `object[name]` as milliseconds, truncated to an integer and
+/// capped at 24 hours; 0 when the field is negative, not a number or missing.
 [[nodiscard]] inline std::chrono::milliseconds ms_field(const Json::Value& object, const char* name) {
     constexpr std::chrono::milliseconds max_duration = std::chrono::hours{24};
     if (!object.isObject() || !object[name].isNumeric()) {
@@ -45,7 +46,8 @@
                                                              : max_duration;
 }
 
-/// The string `object[name]`; empty when it is missing or not a string.
+/// Returns the string `object[name]`; empty when the field is missing or not a
+/// string.
 [[nodiscard]] inline std::string text_field(const Json::Value& object, const char* name) {
     if (!object.isObject() || !object[name].isString()) {
         return {};
--- a/src/cornellever/rpc/idle_timeout_read.hpp
+++ b/src/cornellever/rpc/idle_timeout_read.hpp
@@ -15,14 +15,15 @@
 /// Longer HTTP responses are rejected.
 inline constexpr std::uint64_t max_answer_bytes = std::uint64_t{16} * 1024 * 1024;
 
-/// Upper bound on the transfer of one message, even while data keeps arriving.
+/// Maximum time to transfer one message, even while data keeps arriving.
 inline constexpr std::chrono::seconds max_transfer_time{15};
 
-/// Reads an HTTP message and returns the number of bytes read. The first read is
-/// bounded by the expiry already set on `stream`, each later one by `idle_timeout`,
-/// and the whole message by `max_transfer_time`. A short limit for the whole
-/// message could not tell a slow transfer over a busy link from a silent peer:
-/// long messages would be aborted and restarted again and again.
+/// Reads an HTTP message and returns the number of bytes read. The expiry already
+/// set on `stream` limits the first read, `idle_timeout` each later read, and
+/// `max_transfer_time` the whole message. A short limit on the whole message
+/// could not distinguish a slow transfer over a busy link from a peer that has
+/// stopped sending, so long messages would be aborted and restarted again and
+/// again.
 template <typename Parser>
 asio::awaitable<std::size_t> read_with_idle_timeout(boost::beast::tcp_stream& stream, boost::beast::flat_buffer& buffer,
                                                     Parser& parser, std::chrono::milliseconds idle_timeout,
--- a/src/cornellever/rpc/reconnecting_channel.hpp
+++ b/src/cornellever/rpc/reconnecting_channel.hpp
@@ -8,8 +8,8 @@
 
 namespace cornellever::rpc {
 
-/// A channel for repeated calls to one peer. A connection that a failed call left
-/// unusable is replaced by a new one on the next call.
+/// Makes repeated calls to one server. After a failed call that left the
+/// connection unusable, the next call opens a new connection.
 class reconnecting_channel {
 public:
     reconnecting_channel(asio::any_io_executor executor, tcp::endpoint peer)
--- a/src/cornellever/rpc/server.cpp
+++ b/src/cornellever/rpc/server.cpp
@@ -83,12 +83,14 @@
         if (ec) {
             co_return;
         }
-        // Covers the writing of the answer: a planned stop waits until no request is in flight.
+        // The request counts as in flight until its response is written: a
+        // planned shutdown waits until no request is in flight.
         scoped_increment busy{m_in_flight};
         auto request = parser.release();
         auto body = co_await dispatch(request.body(), conn);
         if (conn.stop_answering) {
-            // Keep the connection open, without reading from it, until the peer times out.
+            // Keep the connection open, without reading from it, until the client
+            // times out.
             asio::steady_timer forever{m_executor, std::chrono::hours{24}};
             co_await forever.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             co_return;
@@ -103,7 +105,8 @@
         response.body() = std::move(body);
         response.prepare_payload();
         if (conn.release_after_write) {
-            // Bounds how long a peer that has stopped reading can delay the release.
+            // Limits how long a client that has stopped reading can delay the
+            // release.
             stream.expires_after(max_transfer_time);
         }
         co_await http::async_write(stream, response, asio::redirect_error(asio::use_awaitable, ec));
--- a/src/cornellever/rpc/server.hpp
+++ b/src/cornellever/rpc/server.hpp
@@ -14,8 +14,8 @@
 
 namespace cornellever::rpc {
 
-/// Base of the state that handlers keep per connection, such as an open
-/// transaction; destroyed when the connection closes.
+/// Base class of the state that handlers keep for each connection, such as an
+/// open transaction. The state is destroyed when the connection closes.
 struct connection_state {
     virtual ~connection_state() = default;
 };
@@ -25,27 +25,30 @@
     std::uint64_t id{0};
     tcp::endpoint peer;
     std::unique_ptr<connection_state> state;
-    /// Set by a handler to keep the connection open without ever answering on it
-    /// again; fault injection in stand-in servers.
+    /// Set by a handler to keep the connection open without sending any further
+    /// response. Used for fault injection in stand-in servers, which simulate
+    /// other systems in tests.
     bool stop_answering{false};
-    /// Set by a handler to close the connection without sending the answer of a
-    /// request that took effect; fault injection in stand-in servers.
+    /// Set by a handler to close the connection without sending the response to a
+    /// request that took effect. Used for fault injection in stand-in servers.
     bool drop_answer{false};
-    /// Set by a handler to an object to be released once its answer is written.
+    /// Set by a handler to an object that is released once the handler's response
+    /// is written.
     std::shared_ptr<void> release_after_write;
 };
 
-/// Handles the calls of one method; gets the params object.
+/// Handles the calls of one method; receives the request's params object.
 using handler = std::function<asio::awaitable<result<Json::Value>>(const Json::Value&, connection&)>;
 
-/// A JSON-RPC 2.0 server over HTTP/1.1 with keep-alive. The requests of one
-/// connection are handled one at a time, in order; connections are concurrent.
+/// A JSON-RPC 2.0 server over HTTP/1.1 with keep-alive. Handles the requests of
+/// one connection one at a time, in order, and different connections
+/// concurrently.
 class server {
 public:
-    /// Nothing is bound before `listen`.
+    /// The server binds no address before `listen`.
     explicit server(const asio::any_io_executor& executor);
 
-    /// Registers the handler of `method`, or replaces it.
+    /// Registers the handler of `method`, replacing an earlier one.
     void on(std::string method, handler method_handler);
 
     /// Binds and listens, and returns the bound address. Errors: `unavailable`
@@ -54,17 +57,17 @@
 
     void start();
 
-    /// Stops accepting new connections; open ones are still served.
+    /// Stops accepting new connections; open connections are still served.
     void stop_accepting();
 
-    /// Closes every connection after its next response, which carries HTTP
-    /// `Connection: close`: clients reconnect elsewhere between two requests, and
-    /// a planned stop interrupts no request.
+    /// Closes every connection after its next response, which has the HTTP header
+    /// `Connection: close`. Clients then reconnect to another server between two
+    /// requests, so that a planned shutdown interrupts no request.
     void drain() { m_draining = true; }
 
     [[nodiscard]] bool draining() const noexcept { return m_draining; }
 
-    /// The number of requests received but not yet answered.
+    /// The number of requests that were received but not yet answered.
     [[nodiscard]] std::size_t in_flight() const noexcept { return m_in_flight; }
 
     [[nodiscard]] std::size_t open_connections() const noexcept { return m_open; }
