--- a/src/cornellever/backend/connection_context.hpp
+++ b/src/cornellever/backend/connection_context.hpp
@@ -8,8 +8,9 @@
 
 namespace cornellever::backend {
 
-/// State of one caller connection: its SQLite connection and its open
-/// transaction, if any. Registers itself in the instance's set of connections.
+/// State of one client connection to the stand-in server: its SQLite connection
+/// and its open transaction, if any. Registers itself in the instance's set of
+/// connections.
 struct instance::connection_context : rpc::connection_state {
     connection_context(std::uint64_t connection_id, sqlite_connection connection, std::uint64_t database_generation,
                        std::set<connection_context*>& registry)
@@ -32,14 +33,16 @@
         pending.clear();
     }
 
-    /// The RPC connection's id; `begin` returns it and `terminate` takes it.
+    /// The id of the RPC connection; `begin` returns this id and `terminate`
+    /// takes it.
     std::uint64_t id;
     sqlite_connection db;
-    /// The database generation that `db` was opened on.
+    /// The database generation (see `database::generation`) on which `db` was
+    /// opened.
     std::uint64_t generation;
     bool in_transaction{false};
-    /// The server rolled back the open transaction and has not yet reported
-    /// it to the caller.
+    /// True if the server has rolled back the open transaction and has not yet
+    /// reported this to the client.
     bool aborted{false};
     /// Write statements of the open transaction; logged when it commits.
     std::vector<logged_statement> pending;
--- a/src/cornellever/backend/database.hpp
+++ b/src/cornellever/backend/database.hpp
@@ -10,12 +10,12 @@
 
 namespace cornellever::backend {
 
-/// The SQLite database of one instance, built from the seed scripts and the
-/// entries of the write log. Applied entries cannot be undone one by one, so
-/// when the log is truncated below the applied position (a newer primary wrote
-/// other entries there), the database is rebuilt from the seed scripts in a new
-/// file. `generation` counts these rebuilds, so that connections to an earlier
-/// file can be detected.
+/// The SQLite database of one instance, built by running the seed scripts and
+/// applying the entries of the write log. Applied entries cannot be undone
+/// individually. When the log is truncated below the applied position, because a
+/// newer primary wrote other entries at these positions, the database is
+/// therefore rebuilt from the seed scripts in a new file. `generation` counts
+/// these rebuilds, so that connections to an earlier file can be detected.
 class database {
 public:
     /// Creates the first generation in `folder` and runs `scripts` on it.
@@ -27,20 +27,21 @@
     /// data, with no log entry applied.
     [[nodiscard]] result<void> rebuild();
 
-    /// Applies one log entry in one transaction; rolled back on error.
+    /// Applies one log entry in one transaction, which is rolled back on error.
     [[nodiscard]] result<void> apply(const log_entry& entry);
 
-    /// Opens a connection to the current generation for a caller.
+    /// Opens a connection to the current generation for a client.
     [[nodiscard]] result<sqlite_connection> connect() const;
 
-    /// The number of rebuilds; a connection to another generation is stale.
+    /// The number of rebuilds. A connection that was opened on another generation
+    /// is stale.
     [[nodiscard]] std::uint64_t generation() const noexcept { return m_generation; }
 
-    /// The log position of the last entry in the database.
+    /// The log position of the last entry applied to the database.
     [[nodiscard]] std::uint64_t applied_position() const noexcept { return m_applied_position; }
 
-    /// Records that the entry at `position` is in the database already: on a
-    /// primary, the caller's own connection has committed it.
+    /// Records that the database already contains the entry at `position`: on a
+    /// primary, the client's own SQLite connection has committed the transaction.
     void record_local_commit(std::uint64_t position) noexcept { m_applied_position = position; }
 
 private:
--- a/src/cornellever/backend/log.hpp
+++ b/src/cornellever/backend/log.hpp
@@ -11,14 +11,14 @@
 
 namespace cornellever::backend {
 
-/// A write statement as it is shipped to replicas: SQL text and parameters.
+/// A write statement as sent to replicas: SQL text and parameters.
 struct logged_statement {
     std::string sql;
     Json::Value params;
 };
 
-/// One committed write transaction at a log position, with the term of the
-/// primary that wrote it.
+/// One committed write transaction at a log position. `term` is the term of the
+/// primary that wrote the entry.
 struct log_entry {
     std::uint64_t position{0};
     std::uint64_t term{0};
@@ -27,8 +27,8 @@
     std::vector<logged_statement> statements;
 };
 
-/// The end of a log. Ordered by term first: an entry of a later term replaces
-/// one of an earlier term at the same position.
+/// The end of a log. Ends are ordered by term first, because an entry of a later
+/// term replaces an entry of an earlier term at the same position.
 struct log_end {
     std::uint64_t term{0};
     std::uint64_t position{0};
@@ -36,26 +36,26 @@
     friend auto operator<=>(const log_end&, const log_end&) = default;
 };
 
-/// An instance's log of committed writes, held completely in memory: a primary
-/// ships entries from it, a replica stores received entries in it before
-/// applying them.
+/// An instance's log of committed writes, held completely in memory. A primary
+/// sends the entries in its log to the replicas; a replica stores received
+/// entries in its log before applying them.
 class write_log {
 public:
     /// Appends a committed transaction and returns its position.
     std::uint64_t append(std::uint64_t term, std::vector<logged_statement> statements,
                          std::chrono::steady_clock::time_point now);
 
-    /// Adds an entry received from the primary; its position must follow the
-    /// last one.
+    /// Adds an entry received from the primary. The entry's position must follow
+    /// the last position of the log.
     void receive(log_entry entry);
 
-    /// Removes the entries from `position` on.
+    /// Removes the entry at `position` and all later entries.
     void truncate_from(std::uint64_t position);
 
     /// The entries after `position`, at most `limit` of them.
     [[nodiscard]] std::vector<const log_entry*> after(std::uint64_t position, std::size_t limit) const;
 
-    /// The entry at `position`, or null when the log does not hold it.
+    /// Returns the entry at `position`, or null when the log does not contain it.
     [[nodiscard]] const log_entry* at(std::uint64_t position) const;
 
     /// The position of the last entry; 0 for an empty log.
@@ -64,7 +64,7 @@
     /// The term and position of the last entry.
     [[nodiscard]] log_end end() const noexcept;
 
-    /// Whether the log holds, at `position`, the entry written in `term`.
+    /// Whether the log contains, at `position`, the entry written in `term`.
     [[nodiscard]] bool holds(std::uint64_t position, std::uint64_t term) const;
 
 private:
--- a/src/cornellever/backend/replication.cpp
+++ b/src/cornellever/backend/replication.cpp
@@ -112,8 +112,9 @@
 
 asio::awaitable<void> instance::ship(tcp::endpoint replica, std::uint64_t role_epoch) {
     rpc::reconnecting_channel link{m_executor, replica};
-    // Starts one entry before the end: a newly promoted primary has already
-    // appended the first entry of its term, which no replica holds yet.
+    // Starts one entry before the end of the log, because a newly promoted
+    // primary has already appended the first entry of its term, which no replica
+    // holds yet.
     std::uint64_t sent = m_log.last() > 0 ? m_log.last() - 1 : 0;
     auto last_sent = clock::time_point{};
     while (m_role_epoch == role_epoch && m_role == role::primary) {
@@ -136,9 +137,9 @@
         last_sent = clock::now();
         auto answer = co_await link.call("replicate", params, ship_timeout);
         if (answer) {
-            // While the replica's log does not match at `sent`, retries from an
-            // earlier position. From the matching position on, the replica
-            // then replaces entries that another primary wrote.
+            // While the replica's log does not match at `sent`, the next attempt
+            // starts at an earlier position. From the matching position on, the
+            // replica replaces entries that another primary wrote.
             sent = (*answer)["received"].asUInt64();
             if (m_role_epoch == role_epoch && (*answer)["matched"].asBool()) {
                 m_replica_positions[replica] = sent;
@@ -174,9 +175,9 @@
     const auto wait = std::min(std::chrono::milliseconds{in.get("wait_ms", 0).asInt64()}, max_receive_wait);
     const auto until = clock::now() + wait;
     for (;;) {
-        // Only a replica that is still in the writer's term may confirm: once it
-        // has adopted a later term, the new primary may be elected without this
-        // entry.
+        // Only a replica that is still in the term of the primary that wrote the
+        // entry may confirm it: once the replica has adopted a later term, the
+        // new primary may be elected without this entry.
         if (m_term > term) {
             co_return fail(errc::fenced, "instance " + m_settings.name + " is in term " + std::to_string(m_term));
         }
@@ -265,9 +266,9 @@
     ++m_role_epoch;
     m_role = role::primary;
     m_quiescing = false;
-    // Appends an empty entry of the new term. A replica that confirms it holds
-    // every earlier entry too, so a majority that confirms it also makes the
-    // writes of older terms durable.
+    // Appends an empty entry of the new term. A replica that confirms this entry
+    // also holds every earlier entry, so a confirmation by a majority also makes
+    // the writes of older terms durable.
     append({});
     start_shipping();
     co_return describe_log_end();
--- a/src/cornellever/backend/sqlite.cpp
+++ b/src/cornellever/backend/sqlite.cpp
@@ -146,9 +146,9 @@
             return fail(errc::bad_request, "parameter " + std::to_string(index + 1) + " does not bind");
         }
     }
-    // sqlite3_changes does not work here: after a statement that changes no
-    // rows it still returns the count of an earlier one, possibly of another
-    // caller of this connection.
+    // sqlite3_changes does not work here: after a statement that changes no rows,
+    // it still returns the count of an earlier statement, possibly of another
+    // user of this connection.
     const auto changed_before = sqlite3_total_changes64(m_handle.get());
     statement_result out;
     out.read_only = sqlite3_stmt_readonly(raw) != 0;
--- a/src/cornellever/backend/sqlite.hpp
+++ b/src/cornellever/backend/sqlite.hpp
@@ -22,7 +22,8 @@
     bool read_only{true};
 };
 
-/// Whether a statement may change data, as SQLite reports it before execution.
+/// Whether a statement may change data, which SQLite reports before the
+/// execution.
 enum class access { read, write };
 
 /// One SQLite connection to the instance's database file.
@@ -31,15 +32,15 @@
     /// Opens `file` in WAL mode. Errors: `internal` when SQLite cannot open it.
     [[nodiscard]] static result<sqlite_connection> open(const std::filesystem::path& file);
 
-    /// Runs one statement with positional `params` (a JSON array).
-    /// Errors: `bad_request` for SQL that does not prepare or contains more
-    /// than one statement; `busy` when another connection holds the write
-    /// lock; `conflict` when a constraint is violated, in which case SQLite
-    /// rolls the statement back. In all these cases it has no effect.
+    /// Runs one statement with positional `params` (a JSON array). Errors:
+    /// `bad_request` when `sql` cannot be prepared or contains more than one
+    /// statement; `busy` when another connection holds the write lock; `conflict`
+    /// when a constraint is violated, in which case SQLite rolls the statement
+    /// back. In all these cases the statement has no effect.
     [[nodiscard]] result<statement_result> run(std::string_view sql, const Json::Value& params);
 
-    /// Prepares `sql` without running it and returns whether it only reads.
-    /// Errors: `bad_request` for SQL that does not prepare.
+    /// Prepares `sql` without running it and returns whether the statement only
+    /// reads. Errors: `bad_request` when `sql` cannot be prepared.
     [[nodiscard]] result<access> classify(std::string_view sql);
 
     /// Runs a script of statements without parameters, such as the schema, the
--- a/src/cornellever/backend/statements.cpp
+++ b/src/cornellever/backend/statements.cpp
@@ -8,7 +8,7 @@
 
 asio::awaitable<result<instance::connection_context*>> instance::context_of(rpc::connection& conn) {
     if (conn.id < m_faults.silent_below_id) {
-        // The silent-connection fault: this connection never answers again.
+        // With this injected fault, the connection gets no further responses.
         conn.stop_answering = true;
         co_return fail(errc::outcome_unknown, "silent");
     }
@@ -21,17 +21,18 @@
             co_return fail(errc::busy, "instance " + m_settings.name + " has its " +
                                            std::to_string(m_settings.max_connections) + " connections open");
         }
-        // Simulates the cost of opening a connection to a database server, which
-        // takes 12 to 30 ms.
+        // Simulates the time to open a connection to a database server, which is
+        // 12 to 30 ms.
         co_await sleep_for(m_settings.connect_delay);
     }
     auto opened = m_data.connect();
     if (!opened) {
         co_return std::unexpected{opened.error()};
     }
-    // After a rebuild the caller needs a connection to the new file. The flag
-    // that its transaction was rolled back is carried over: without it the
-    // caller's next statement would run outside any transaction.
+    // After a rebuild of the database the client needs a connection to the new
+    // file. The flag that the server rolled back the client's transaction is
+    // kept: without this flag, the client's next statement would run outside any
+    // transaction.
     const bool aborted = existing != nullptr && existing->aborted;
     auto created =
         std::make_unique<connection_context>(conn.id, std::move(*opened), m_data.generation(), m_connections);
@@ -42,8 +43,8 @@
 
 result<void> instance::admit_read(params in) const {
     if (m_role == role::primary) {
-        // The session has seen a write of a later term, so this primary has
-        // been replaced.
+        // The session has seen a write of a later term, so another server has
+        // replaced this primary.
         if (in.get("min_term", 0).asUInt64() > m_term) {
             return fail(errc::fenced, "instance " + m_settings.name + " leads an older term than the session's");
         }
@@ -52,7 +53,8 @@
     const auto position = in.get("min_position", 0).asUInt64();
     const auto term = in.get("min_term", 0).asUInt64();
     // Comparing the position alone is not enough: after a failover, a replica
-    // that has not caught up may hold an entry of the former primary there.
+    // that has not caught up may hold an entry of the former primary at that
+    // position.
     if (position > 0 && (m_data.applied_position() < position || !m_log.holds(position, term))) {
         return fail(errc::behind, "replica " + m_settings.name + " has applied " +
                                       std::to_string(m_data.applied_position()) + ", the session needs " +
@@ -126,8 +128,9 @@
     }
     ++m_statements;
     const auto sql = in["sql"].asString();
-    // Checked before the statement is prepared: on a replica that has not yet
-    // applied the session's CREATE TABLE, a valid statement fails to prepare.
+    // Position and term are checked before the statement is prepared: on a
+    // replica that has not yet applied the session's CREATE TABLE, a valid
+    // statement fails to prepare.
     auto admitted = caller.in_transaction ? result<void>{} : admit_read(in);
     if (!admitted) {
         co_return log_refusal(admitted.error());
@@ -204,7 +207,8 @@
     auto committed = caller.db.exec("COMMIT");
     if (!committed) {
         // SQLite leaves the transaction open when COMMIT fails. Without a
-        // rollback the next user of this pooled connection would continue it.
+        // rollback, the next user of this pooled connection would continue the
+        // transaction.
         caller.roll_back();
         co_return fail(errc::not_run,
                        "commit failed and the transaction was rolled back: " + committed.error().message);
--- a/src/cornellever/bench/caller_session.hpp
+++ b/src/cornellever/bench/caller_session.hpp
@@ -15,25 +15,26 @@
 
 namespace cornellever::bench {
 
-/// The database that a run sends its statements to.
+/// The database to which a run sends its statements.
 struct target_database {
     std::string service;
     std::string database;
 };
 
-/// A caller's session as a client library would keep it: the session token of
-/// the latest answer and one connection for each proxy in use.
+/// The session of a caller (a client application), kept as in a client library:
+/// the session token of the latest response and one connection for each proxy in
+/// use.
 class caller_session {
 public:
     caller_session(asio::any_io_executor executor, std::vector<tcp::endpoint> proxies, target_database target);
 
     /// Calls `method` on proxy `index`, adding service, database and session
-    /// token to `params`, and stores the token of the answer.
+    /// token to `params`, and stores the token of the response.
     asio::awaitable<result<Json::Value>> call(std::size_t index, std::string_view method, Json::Value params,
                                               std::chrono::milliseconds deadline);
 
     /// Closes the connection to proxy `index` without ending open transactions,
-    /// as a crashed caller would.
+    /// like a caller that crashes.
     void drop_connection(std::size_t index) { m_links[index].reset(); }
 
     /// The number of proxies.
--- a/src/cornellever/bench/differential.cpp
+++ b/src/cornellever/bench/differential.cpp
@@ -18,8 +18,8 @@
 constexpr auto update_page = "UPDATE bench_pages SET page = page || '+' WHERE owner = ? AND page = ?";
 constexpr auto select_own = "SELECT page FROM bench_pages WHERE owner = ? ORDER BY page";
 
-/// The part of an answer that must be equal on both sides: the error code, or
-/// the columns, rows and number of changes.
+/// Returns the part of a response that must be equal with and without a proxy:
+/// the error code, or the columns, rows and number of changes.
 std::string comparable_part(const result<Json::Value>& answer) {
     if (!answer) {
         return "error " + std::string{to_string(answer.error().code)};
--- a/src/cornellever/bench/differential.hpp
+++ b/src/cornellever/bench/differential.hpp
@@ -11,11 +11,11 @@
 namespace cornellever::bench {
 
 /// A differential test: the same random statements are sent through the proxies
-/// and directly to a naive version, which is a single instance without a proxy.
-/// Their answers must be equal.
+/// and directly to a single server without a proxy, the naive version. The
+/// responses must be equal.
 struct differential_plan {
     std::vector<tcp::endpoint> proxies;
-    /// The single instance of the naive version.
+    /// The single server without a proxy.
     tcp::endpoint naive;
     target_database target;
     std::size_t sessions{20};
@@ -24,9 +24,10 @@
     std::uint64_t seed{1};
 };
 
-/// The differences between the two, and their latencies.
+/// The differences between the responses through the proxies and those of the
+/// single server, and the latencies of both.
 struct differential_report {
-    /// The number of answers compared.
+    /// The number of responses compared.
     std::size_t answers{0};
     std::vector<std::string> differences;
     std::size_t reads{0};
--- a/src/cornellever/bench/failover_gap.cpp
+++ b/src/cornellever/bench/failover_gap.cpp
@@ -15,7 +15,8 @@
 constexpr auto create_table = "CREATE TABLE IF NOT EXISTS bench_gap (at INTEGER NOT NULL)";
 constexpr auto insert_row = "INSERT INTO bench_gap (at) VALUES (?)";
 
-/// The primary that a round freezes: its key in the proxy's dump and its address.
+/// The primary that a round freezes: its key in the proxy's state dump, and its
+/// address.
 struct frozen_primary {
     std::string key;
     tcp::endpoint address;
@@ -64,8 +65,9 @@
         co_await await_return_as_replica(primary);
     }
 
-    /// Measures the write outage of the naive version: freezes its instance and
-    /// retries a write until the instance answers again.
+    /// Measures the write outage of a single server without a proxy (the naive
+    /// version): freezes the server and retries a write until the server responds
+    /// again.
     asio::awaitable<void> run_naive_round(tcp::endpoint naive) {
         rpc::channel setup{m_executor, naive};
         (void)co_await setup.call("execute", statement(create_table), call_deadline);
--- a/src/cornellever/bench/load.cpp
+++ b/src/cornellever/bench/load.cpp
@@ -23,8 +23,8 @@
         } else {
             ++totals.failed;
             totals.unanswered += answer.error().code == errc::outcome_unknown ? 1 : 0;
-            // A real caller would switch to another proxy when this one has closed
-            // the connection or is unavailable.
+            // A real caller would switch to another proxy when this proxy has
+            // closed the connection or is unavailable.
             if (!link.usable() || answer.error().code == errc::unavailable) {
                 break;
             }
--- a/src/cornellever/bench/load.hpp
+++ b/src/cornellever/bench/load.hpp
@@ -11,8 +11,9 @@
 
 namespace cornellever::bench {
 
-/// A closed-loop load: each of `sessions` callers repeats the same call for
-/// `duration`, sending the next one when the previous one is answered.
+/// A closed-loop load: each of `sessions` callers (client applications) repeats
+/// the same call for `duration` and sends the next call when the previous one is
+/// answered.
 struct load_plan {
     tcp::endpoint target;
     std::string method;
@@ -25,8 +26,8 @@
 struct load_result {
     std::size_t completed{0};
     std::size_t failed{0};
-    /// Failed calls with an unknown outcome: the request was sent, but no answer
-    /// arrived.
+    /// The number of failed calls with an unknown outcome: the request was sent,
+    /// but no response arrived.
     std::size_t unanswered{0};
     std::chrono::nanoseconds elapsed{0};
     /// Processor time of this process during the run, user and system.
@@ -43,8 +44,9 @@
 [[nodiscard]] load_result run_load(const load_plan& plan);
 
 /// Opens `count` connections to `target`, makes one `method` call on each and
-/// keeps them open for `hold`, to measure a server's memory per idle
-/// connection. Returns how many could be opened.
+/// keeps the connections open for `hold`, so that a server's memory per idle
+/// connection can be measured. Returns the number of connections that could be
+/// opened.
 [[nodiscard]] std::size_t hold_connections(const tcp::endpoint& target, std::string_view method, std::size_t count,
                                            std::chrono::milliseconds hold);
 
--- a/src/cornellever/bench/verify.cpp
+++ b/src/cornellever/bench/verify.cpp
@@ -21,10 +21,11 @@
 constexpr auto count_own = "SELECT count(*) FROM bench_ledger WHERE tag = ?";
 constexpr auto count_all = "SELECT tag, count(*) FROM bench_ledger GROUP BY tag";
 
-/// The final outcome of a write as the answers reported it.
+/// The final outcome of a write according to the responses.
 enum class reported_outcome { done, not_run, unknown };
 
-/// The reported outcome of a tag's write and how many rows it writes.
+/// The reported outcome of the write under a tag, and the number of rows that the
+/// write inserts.
 struct tag_outcome {
     reported_outcome reported{reported_outcome::unknown};
     std::size_t rows{1};
@@ -37,7 +38,8 @@
     return guarantees_not_executed(answer.error().code) ? reported_outcome::not_run : reported_outcome::unknown;
 }
 
-/// The shared state of one run; all its callers run on one thread.
+/// The shared state of one run, whose callers (client applications) all run on
+/// one thread.
 class workload {
 public:
     workload(asio::io_context& io, const verify_plan& plan) : m_io{io}, m_plan{plan}, m_deadline{clock::now()} {}
@@ -73,7 +75,8 @@
         co_return result<void>{};
     }
 
-    /// Retries an idempotent statement until it is answered.
+    /// Retries an idempotent statement until it succeeds or `check_timeout` has
+    /// passed.
     asio::awaitable<result<Json::Value>> retry_until_answered(Json::Value params) {
         caller_session session{m_io.get_executor(), m_plan.proxies, m_plan.target};
         const auto retry_deadline = clock::now() + check_timeout;
@@ -124,8 +127,8 @@
         }
     }
 
-    /// Takes the time from the last acknowledged write to the end of the run
-    /// into account.
+    /// Includes the time from the last acknowledged write to the end of the run
+    /// in the longest gap.
     void record_final_gap() {
         const auto tail = std::chrono::duration_cast<std::chrono::milliseconds>(m_deadline - m_last_ack);
         m_report.longest_gap = std::max(m_report.longest_gap, tail);
@@ -152,8 +155,8 @@
             params["request_id"] = tag;
             auto answer = co_await session.call(random() % session.proxies(), "execute", params, call_deadline);
             const auto latest = outcome_of(answer);
-            // After an attempt of unknown outcome, a later "not run" does not prove
-            // that the first attempt had no effect.
+            // After an attempt with an unknown outcome, a later "not run" does
+            // not prove that the earlier attempt had no effect.
             in_doubt = in_doubt || latest == reported_outcome::unknown;
             if (latest == reported_outcome::done || clock::now() - started > m_plan.retry_timeout) {
                 m_report.write_latency.record(clock::now() - started);
--- a/src/cornellever/bench/verify.hpp
+++ b/src/cornellever/bench/verify.hpp
@@ -11,21 +11,23 @@
 
 namespace cornellever::bench {
 
-/// A workload with verification. Callers write rows under unique tags, by single
-/// statements with and without request ids and by transactions, and read them
-/// back through a random proxy. At the end the rows of every tag are counted in
-/// the database and compared with the outcomes reported to the callers.
+/// A workload that is verified. Callers (client applications) write rows under
+/// unique tags and read them back through a random proxy. They write by single
+/// statements, with and without request ids, and by transactions. At the end the
+/// rows of every tag in the database are counted and compared with the outcomes
+/// reported to the callers.
 struct verify_plan {
     std::vector<tcp::endpoint> proxies;
     target_database target;
     std::size_t callers{16};
     std::chrono::milliseconds duration{5000};
     std::uint64_t seed{1};
-    /// How long a caller retries a request with a request id.
+    /// How long a caller retries a request that has a request id.
     std::chrono::milliseconds retry_timeout{15000};
 };
 
-/// The outcomes reported to callers, and where the database disagrees with them.
+/// The outcomes reported to callers, and the writes and reads that contradict
+/// them.
 struct verify_report {
     std::size_t done{0};
     std::size_t not_run{0};
@@ -34,13 +36,15 @@
     std::size_t reads{0};
     std::size_t replica_reads{0};
     std::vector<std::string> read_errors;
-    /// Writes reported as done that are not in the database exactly once.
+    /// Writes that were reported as done but are not in the database exactly
+    /// once.
     std::vector<std::string> not_exactly_once;
-    /// Writes reported as not run, or rolled back, that are in the database.
+    /// Writes that were reported as not run or rolled back but are in the
+    /// database.
     std::vector<std::string> unexpectedly_applied;
-    /// Writes of unknown outcome that are in the database neither completely
-    /// nor not at all: a transaction applied in part or interleaved with
-    /// another, or a write applied twice.
+    /// Writes of unknown outcome that were applied neither completely nor not at
+    /// all: a transaction applied in part or interleaved with another, or a write
+    /// applied twice.
     std::vector<std::string> partially_applied;
     /// Reads that did not return the session's own acknowledged write.
     std::vector<std::string> missing_own_writes;
@@ -51,15 +55,16 @@
     /// Why the final count failed; empty when it succeeded.
     std::string check_failure;
 
-    /// Whether the final count succeeded and no write has a violation.
+    /// Whether the final count succeeded and no write or read contradicts the
+    /// reported outcomes.
     [[nodiscard]] bool clean() const noexcept {
         return not_exactly_once.empty() && unexpectedly_applied.empty() && partially_applied.empty() &&
                missing_own_writes.empty() && check_failure.empty();
     }
 };
 
-/// Runs the workload on one thread and then the final count. Takes at most the
-/// duration, the retry timeout and the time of the count.
+/// Runs the workload on one thread, then the final count. Takes at most the sum
+/// of the duration, the retry timeout and the time of the count.
 [[nodiscard]] verify_report run_verify(const verify_plan& plan);
 
 } // namespace cornellever::bench
--- a/src/cornellever/standin/faults.hpp
+++ b/src/cornellever/standin/faults.hpp
@@ -6,21 +6,22 @@
 
 namespace cornellever::standin {
 
-/// Injected faults of the platform stand-in, set at run time by `fault.set`.
+/// Faults injected into the stand-in platform (a simulated platform for tests),
+/// set at run time with `fault.set`.
 struct faults {
     /// Every call is refused as `unavailable`, before it has any effect.
     bool down{false};
     /// Delay before each call is handled.
     std::chrono::milliseconds added_latency{0};
-    /// The number of following writes that take effect without their answer
-    /// being sent.
+    /// The number of following writes that take effect but whose responses are
+    /// not sent.
     int answers_to_drop{0};
 };
 
 /// Changes the faults that `params` names and leaves the others as they are.
 void update(faults& switches, const Json::Value& params);
 
-/// The current faults as JSON, for answers and dumps.
+/// Returns the current faults as JSON, for responses and state dumps.
 [[nodiscard]] Json::Value to_json(const faults& switches);
 
 } // namespace cornellever::standin
--- a/src/cornellever/standin/platform_service.hpp
+++ b/src/cornellever/standin/platform_service.hpp
@@ -12,17 +12,19 @@
 
 namespace cornellever::standin {
 
-/// Settings of the platform stand-in.
+/// Settings of the stand-in platform (see `platform_service`).
 struct platform_settings {
-    /// How long a change of the VM list stays invisible to readers.
+    /// The delay after which readers see a change of the VM list.
     std::chrono::milliseconds vm_list_lag{2000};
-    /// File that keeps table rows and objects across restarts; empty for none.
+    /// File that keeps table rows and objects across restarts; with an empty
+    /// path, nothing is kept.
     std::filesystem::path snapshot;
 };
 
-/// A stand-in for the platform that the proxies depend on: a transactional
-/// table, an object store and the list of VMs, in memory. Served over RPC as
-/// `table.*`, `object.*`, `vms.*`, `fault.set` and `dump`. Single-threaded.
+/// A stand-in for the platform that the proxies depend on, used in tests. Holds a
+/// transactional table, an object store and the list of VMs in memory. The RPC
+/// methods are `table.*`, `object.*`, `vms.*`, `fault.set` and `dump`.
+/// Single-threaded.
 class platform_service {
 public:
     platform_service(asio::any_io_executor executor, platform_settings settings);
@@ -33,14 +35,14 @@
 private:
     using params = const Json::Value&;
 
-    /// Runs `call` with the current faults applied; after a successful write,
-    /// saves the snapshot.
+    /// Runs `call` with the current faults applied. Saves the snapshot after a
+    /// successful write.
     asio::awaitable<result<Json::Value>> call_with_faults(params in, rpc::connection& conn, bool writes,
                                                           result<Json::Value> (platform_service::*call)(params));
     result<Json::Value> table_get(params in);
-    /// Writes a row when it is at `expected_version`.
+    /// Writes a row if the row is at `expected_version`.
     result<Json::Value> table_put(params in);
-    /// Writes several rows when every check of a row's version holds.
+    /// Writes several rows if all preconditions on the versions of rows hold.
     result<Json::Value> table_transact(params in);
     result<Json::Value> table_list(params in);
     result<Json::Value> object_put(params in);
--- a/src/cornellever/standin/table.hpp
+++ b/src/cornellever/standin/table.hpp
@@ -20,7 +20,8 @@
     Json::Value value;
 };
 
-/// A precondition of a transaction: the row at `key` is at `version` (0: missing).
+/// A precondition of a transaction: the row at `key` is at `version`, where 0
+/// stands for a missing row.
 struct row_precondition {
     std::string key;
     std::uint64_t version{0};
@@ -32,30 +33,33 @@
     Json::Value value;
 };
 
-/// The platform's transactional table in memory: versioned rows with
+/// The platform's transactional table, held in memory: versioned rows with
 /// compare-and-set and small multi-row transactions.
 class table {
 public:
-    /// The row at `key`; `not_found` when there is none.
+    /// Returns the row at `key`. Errors: `not_found` when the row does not exist.
     [[nodiscard]] result<row> get(std::string_view key) const;
 
-    /// Writes `value` when the row is at version `expected` (0: missing) and
-    /// returns the new version. Errors: `conflict`, naming the actual version.
+    /// Writes `value` if the row is at version `expected` (0 for a missing row)
+    /// and returns the new version. Errors: `conflict`, naming the actual
+    /// version.
     [[nodiscard]] result<std::uint64_t> compare_and_set(std::string_view key, std::uint64_t expected,
                                                         const Json::Value& value);
 
-    /// Applies all `writes` when every check holds, otherwise none, and returns
-    /// the new versions. Errors: `conflict`, naming the first check that failed.
+    /// Applies all `writes` if every precondition in `checks` holds, otherwise
+    /// none, and returns the new versions. Errors: `conflict`, naming the first
+    /// precondition that failed.
     [[nodiscard]] result<std::vector<std::uint64_t>> transact(std::span<const row_precondition> checks,
                                                               std::span<const row_write> writes);
 
-    /// Keys that start with `prefix` and their versions, in key order.
+    /// Returns the keys that start with `prefix`, in key order, and the versions
+    /// of their rows.
     [[nodiscard]] std::vector<std::pair<std::string, std::uint64_t>> list(std::string_view prefix) const;
 
     /// All rows, for snapshots and state dumps.
     [[nodiscard]] const std::map<std::string, row, std::less<>>& rows() const noexcept { return m_rows; }
 
-    /// Replaces all rows, from a snapshot.
+    /// Replaces all rows by those of a snapshot.
     void restore(std::map<std::string, row, std::less<>> rows) { m_rows = std::move(rows); }
 
 private:
--- a/src/cornellever/standin/vm_list.hpp
+++ b/src/cornellever/standin/vm_list.hpp
@@ -8,19 +8,19 @@
 
 namespace cornellever::standin {
 
-/// A VM's state as the platform reports it: running, about to be stopped, or
-/// removed.
+/// A VM's state as the platform reports it: running (`live`), about to be stopped
+/// (`leaving`) or removed (`gone`).
 enum class vm_state { live, leaving, gone };
 
-/// One VM of the list. `kind` is what runs on it, such as "proxy" or "backend",
-/// as given at its registration.
+/// One VM of the list. `kind` is what runs on the VM, such as "proxy" or
+/// "backend", as given when the VM was registered.
 struct vm {
     vm_state state{vm_state::live};
     std::string kind;
 };
 
-/// The platform's list of live and leaving VMs. It is eventually consistent:
-/// readers see a change only `lag` after it was made.
+/// The platform's list of VMs that are running or about to be stopped. The list
+/// is eventually consistent: readers see a change only after the delay `lag`.
 class vm_list {
 public:
     using clock = std::chrono::steady_clock;
@@ -30,7 +30,8 @@
     /// Records the state and kind of the VM at `address`.
     void set(std::string address, vm value, clock::time_point now);
 
-    /// The list that readers see at `now`, without changes younger than the lag.
+    /// Returns the list that readers see at `now`, without changes that are more
+    /// recent than the lag.
     [[nodiscard]] std::map<std::string, vm> visible_at(clock::time_point now) const;
 
 private:
@@ -44,10 +45,10 @@
     std::vector<change> m_changes;
 };
 
-/// "live", "leaving" or "gone".
+/// Returns "live", "leaving" or "gone".
 [[nodiscard]] std::string_view to_string(vm_state state) noexcept;
 
-/// Parses a state name; false when it is unknown.
+/// Parses the name of a state. Returns false when the name is unknown.
 [[nodiscard]] bool parse_vm_state(std::string_view text, vm_state& out) noexcept;
 
 } // namespace cornellever::standin
