--- a/src/cornellever/backend/connection_context.hpp
+++ b/src/cornellever/backend/connection_context.hpp
@@ -8,9 +8,9 @@
 
 namespace cornellever::backend {
 
-/// State of one client connection to the stand-in server: its SQLite connection
-/// and its open transaction, if any. Registers itself in the instance's set of
-/// connections.
+/// State of one client connection to the stand-in server (a simulated backend
+/// server for tests): the SQLite connection and the open transaction, if any.
+/// Registers itself in the instance's set of connections.
 struct instance::connection_context : rpc::connection_state {
     connection_context(std::uint64_t connection_id, sqlite_connection connection, std::uint64_t database_generation,
                        std::set<connection_context*>& registry)
@@ -24,7 +24,7 @@
     connection_context(const connection_context&) = delete;
     connection_context& operator=(const connection_context&) = delete;
 
-    /// Rolls back the open transaction, if there is one.
+    /// Rolls back the open transaction, if any.
     void roll_back() {
         if (db.in_transaction()) {
             (void)db.exec("ROLLBACK");
@@ -44,7 +44,8 @@
     /// True if the server has rolled back the open transaction and has not yet
     /// reported this to the client.
     bool aborted{false};
-    /// Write statements of the open transaction; logged when it commits.
+    /// Write statements of the open transaction, which are appended to the write
+    /// log when the transaction commits.
     std::vector<logged_statement> pending;
 
 private:
--- a/src/cornellever/backend/database.hpp
+++ b/src/cornellever/backend/database.hpp
@@ -10,12 +10,13 @@
 
 namespace cornellever::backend {
 
-/// The SQLite database of one instance, built by running the seed scripts and
-/// applying the entries of the write log. Applied entries cannot be undone
-/// individually. When the log is truncated below the applied position, because a
-/// newer primary wrote other entries at these positions, the database is
-/// therefore rebuilt from the seed scripts in a new file. `generation` counts
-/// these rebuilds, so that connections to an earlier file can be detected.
+/// The SQLite database of one instance of the stand-in server (a simulated
+/// backend server for tests), built by running the seed scripts and applying the
+/// entries of the write log. Applied entries cannot be undone individually. When
+/// the log is truncated below the applied position, because a newer primary wrote
+/// other entries at these positions, the database is therefore rebuilt from the
+/// seed scripts in a new file. `generation` counts these rebuilds, so that
+/// connections to an earlier file can be detected.
 class database {
 public:
     /// Creates the first generation in `folder` and runs `scripts` on it.
@@ -23,8 +24,8 @@
     [[nodiscard]] static result<database> create(std::filesystem::path folder,
                                                  std::vector<std::filesystem::path> scripts);
 
-    /// Replaces the database by a new generation that holds only the seed
-    /// data, with no log entry applied.
+    /// Replaces the database by a new generation that contains only the seed
+    /// data. No log entry is applied.
     [[nodiscard]] result<void> rebuild();
 
     /// Applies one log entry in one transaction, which is rolled back on error.
--- a/src/cornellever/backend/faults.hpp
+++ b/src/cornellever/backend/faults.hpp
@@ -26,12 +26,12 @@
     int answers_to_drop{0};
     /// Delay between the execution of a statement and its response.
     std::chrono::milliseconds answer_delay{0};
-    /// Connections with an id below this one get no further responses; newer
-    /// connections do.
+    /// Connections whose id is lower than this value get no further responses;
+    /// newer connections do.
     std::uint64_t silent_below_id{0};
 };
 
-/// Changes the faults that `params` names and leaves the others as they are;
+/// Changes the faults that `params` names and leaves the others unchanged;
 /// unknown names are ignored. `connection` is the id of the calling connection:
 /// the fault `silence_open_connections` affects all connections with a lower id.
 void update(faults& switches, const Json::Value& params, std::uint64_t connection);
--- a/src/cornellever/backend/instance.hpp
+++ b/src/cornellever/backend/instance.hpp
@@ -46,10 +46,10 @@
 /// write to its log and sends the log to the replicas. Replicas receive entries
 /// immediately and apply them after the configured replication lag.
 ///
-/// The term is a fencing token: an instance remembers the highest term it
-/// has received in `fence` or `replicate` and refuses writes, replication and
-/// promotions that carry a lower one. A primary that receives a higher term
-/// becomes a replica and rolls back its open transactions.
+/// The term is a fencing token: an instance remembers the highest term received
+/// in `fence` or `replicate` and refuses writes, replication and promotions with
+/// a lower term. A primary that receives a higher term becomes a replica and
+/// rolls back its open transactions.
 ///
 /// RPC methods for clients: `execute`, `begin`, `commit`, `rollback`,
 /// `terminate`, `await_received`, `find_entry`, `status`, `dump`. For promotion:
@@ -115,14 +115,15 @@
     /// Applies the injected faults that lose or delay the response to an executed
     /// statement.
     asio::awaitable<void> apply_answer_faults(rpc::connection& conn);
-    /// Checks the term, position and staleness that a read requires.
+    /// Checks whether this instance satisfies the term, log position and maximum
+    /// staleness that a read requires.
     [[nodiscard]] result<void> admit_read(params in) const;
-    /// Checks the role and term that a write requires.
+    /// Checks whether this instance has the role and term that a write requires.
     [[nodiscard]] result<void> admit_write(params in) const;
     /// Returns the error `fenced` once after the server has rolled back the
     /// transaction of `caller`.
     [[nodiscard]] result<void> report_abort(connection_context& caller) const;
-    /// Logs the refusal of a request and returns it as the result.
+    /// Logs the refusal of a request and returns the refusal as the result.
     [[nodiscard]] std::unexpected<error> log_refusal(const error& refusal) const;
     /// The last position of the log, the term and the instance's name.
     [[nodiscard]] Json::Value describe_log_end() const;
@@ -180,9 +181,9 @@
     std::set<connection_context*> m_connections;
     /// Timers of the pending `await_received` calls.
     std::set<asio::steady_timer*> m_receive_waiters;
-    /// When the primary last replicated to this instance.
+    /// When the primary last sent log entries or a heartbeat to this replica.
     clock::time_point m_primary_contact_at;
-    /// When this instance last held the primary's complete log.
+    /// When this replica last held the primary's complete log.
     clock::time_point m_received_all_at;
 };
 
--- a/src/cornellever/backend/log.hpp
+++ b/src/cornellever/backend/log.hpp
@@ -52,7 +52,7 @@
     /// Removes the entry at `position` and all later entries.
     void truncate_from(std::uint64_t position);
 
-    /// The entries after `position`, at most `limit` of them.
+    /// Returns the entries after `position`, but no more than `limit`.
     [[nodiscard]] std::vector<const log_entry*> after(std::uint64_t position, std::size_t limit) const;
 
     /// Returns the entry at `position`, or null when the log does not contain it.
--- a/src/cornellever/backend/replication.cpp
+++ b/src/cornellever/backend/replication.cpp
@@ -112,9 +112,9 @@
 
 asio::awaitable<void> instance::ship(tcp::endpoint replica, std::uint64_t role_epoch) {
     rpc::reconnecting_channel link{m_executor, replica};
-    // Starts one entry before the end of the log, because a newly promoted
-    // primary has already appended the first entry of its term, which no replica
-    // holds yet.
+    // Starts one entry before the end of the log: a newly promoted primary has
+    // already appended the first entry of the new term, which no replica holds
+    // yet.
     std::uint64_t sent = m_log.last() > 0 ? m_log.last() - 1 : 0;
     auto last_sent = clock::time_point{};
     while (m_role_epoch == role_epoch && m_role == role::primary) {
--- a/src/cornellever/backend/sqlite.cpp
+++ b/src/cornellever/backend/sqlite.cpp
@@ -147,8 +147,8 @@
         }
     }
     // sqlite3_changes does not work here: after a statement that changes no rows,
-    // it still returns the count of an earlier statement, possibly of another
-    // user of this connection.
+    // the function still returns the count of an earlier statement, possibly of
+    // another user of this connection.
     const auto changed_before = sqlite3_total_changes64(m_handle.get());
     statement_result out;
     out.read_only = sqlite3_stmt_readonly(raw) != 0;
--- a/src/cornellever/backend/sqlite.hpp
+++ b/src/cornellever/backend/sqlite.hpp
@@ -29,7 +29,8 @@
 /// One SQLite connection to the instance's database file.
 class sqlite_connection {
 public:
-    /// Opens `file` in WAL mode. Errors: `internal` when SQLite cannot open it.
+    /// Opens `file` in WAL mode. Errors: `internal` when SQLite cannot open the
+    /// file.
     [[nodiscard]] static result<sqlite_connection> open(const std::filesystem::path& file);
 
     /// Runs one statement with positional `params` (a JSON array). Errors:
@@ -50,9 +51,9 @@
     /// Whether a transaction is open on this connection.
     [[nodiscard]] bool in_transaction() const noexcept;
 
-    /// Makes `run` refuse, as `bad_request`, statements that change the
+    /// Makes `run` refuse, with `bad_request`, statements that change the
     /// connection's state: BEGIN, COMMIT, SAVEPOINT, ATTACH, PRAGMA and TEMP
-    /// objects. `exec` may still use them.
+    /// objects. `exec` may still run such statements.
     void refuse_connection_statements();
 
 private:
--- a/src/cornellever/bench/caller_session.hpp
+++ b/src/cornellever/bench/caller_session.hpp
@@ -48,8 +48,8 @@
     Json::Value m_session_token{Json::objectValue};
 };
 
-/// The request params of a statement: its SQL text and one text parameter per
-/// `bound`. Variadic because g++ 12 cannot compile initializer lists inside
+/// Returns the request params of a statement: the SQL text and one text parameter
+/// per `bound`. Variadic because g++ 12 cannot compile initializer lists inside
 /// `co_await` operands.
 template <std::convertible_to<std::string>... Texts>
 [[nodiscard]] Json::Value statement(std::string_view sql, const Texts&... bound) {
--- a/src/cornellever/bench/failover_gap.cpp
+++ b/src/cornellever/bench/failover_gap.cpp
@@ -15,7 +15,7 @@
 constexpr auto create_table = "CREATE TABLE IF NOT EXISTS bench_gap (at INTEGER NOT NULL)";
 constexpr auto insert_row = "INSERT INTO bench_gap (at) VALUES (?)";
 
-/// The primary that a round freezes: its key in the proxy's state dump, and its
+/// The primary that a round freezes: the key in the proxy's state dump and the
 /// address.
 struct frozen_primary {
     std::string key;
--- a/src/cornellever/bench/session_script.hpp
+++ b/src/cornellever/bench/session_script.hpp
@@ -18,7 +18,7 @@
 struct session_step {
     /// Index into the list of proxies.
     std::size_t proxy{0};
-    /// Explains the step in the printed output.
+    /// The explanation of the step in the printed output.
     std::string description;
     std::string method;
     Json::Value params;
--- a/src/cornellever/bench/verify.hpp
+++ b/src/cornellever/bench/verify.hpp
@@ -11,9 +11,9 @@
 
 namespace cornellever::bench {
 
-/// A workload that is verified. Callers (client applications) write rows under
-/// unique tags and read them back through a random proxy. They write by single
-/// statements, with and without request ids, and by transactions. At the end the
+/// A workload with verification. Callers (client applications) write rows under
+/// unique tags, by single statements with and without request ids and by
+/// transactions, and read the rows back through a random proxy. At the end the
 /// rows of every tag in the database are counted and compared with the outcomes
 /// reported to the callers.
 struct verify_plan {
@@ -27,7 +27,7 @@
 };
 
 /// The outcomes reported to callers, and the writes and reads that contradict
-/// them.
+/// these outcomes.
 struct verify_report {
     std::size_t done{0};
     std::size_t not_run{0};
@@ -42,9 +42,8 @@
     /// Writes that were reported as not run or rolled back but are in the
     /// database.
     std::vector<std::string> unexpectedly_applied;
-    /// Writes of unknown outcome that were applied neither completely nor not at
-    /// all: a transaction applied in part or interleaved with another, or a write
-    /// applied twice.
+    /// Writes of unknown outcome that violate atomicity: a transaction applied in
+    /// part or interleaved with another, or a write applied twice.
     std::vector<std::string> partially_applied;
     /// Reads that did not return the session's own acknowledged write.
     std::vector<std::string> missing_own_writes;
--- a/src/cornellever/core/error.hpp
+++ b/src/cornellever/core/error.hpp
@@ -17,7 +17,7 @@
     /// The request conflicts with the current state, for example with a row's
     /// version or with a constraint.
     conflict,
-    /// The request was not executed, or its effects were undone.
+    /// The request was not executed, or the effects of the request were undone.
     not_run,
     /// The request may or may not have been executed.
     outcome_unknown,
--- a/src/cornellever/core/event.hpp
+++ b/src/cornellever/core/event.hpp
@@ -8,7 +8,8 @@
 enum class severity { debug, info, warning, error };
 
 /// All events that are logged. The numbers are stable and identify the events in
-/// docs/EVENTS.md; new events are added at the end of their block.
+/// docs/EVENTS.md. A new event is added at the end of the block of related
+/// events.
 enum class event : std::uint16_t {
     // Processes and RPC.
     process_started = 1001,
@@ -29,7 +30,7 @@
     store_regained = 1111,
     /// The metadata store was restored from an older copy.
     store_returned = 1112,
-    /// The store holds an older configuration than the one in use.
+    /// The metadata store holds an older configuration than the proxy uses.
     stored_config_older = 1113,
     // Backend servers, primaries, failover and cluster membership.
     instance_up = 1201,
@@ -56,9 +57,11 @@
     transaction_abandoned = 1303,
     /// A replica did not serve a read; another server is tried.
     replica_fallback = 1304,
-    /// The idle connections to a server were closed because they may be broken.
+    /// All idle connections to a server were closed because the connections may
+    /// be broken.
     connections_suspect = 1305,
-    /// A write was not confirmed, and its outcome could not be determined.
+    /// A server did not confirm a write, and the outcome of the write could not
+    /// be determined.
     write_unconfirmed = 1306,
     request_repeated = 1307,
     connect_failed = 1308,
--- a/src/cornellever/core/log.cpp
+++ b/src/cornellever/core/log.cpp
@@ -90,8 +90,8 @@
         m_wake.notify_one();
     }
 
-    /// Writes the queued lines for at most `limit`. If the thread has not
-    /// finished by then, it is detached, since it may be blocked in a write.
+    /// Writes the queued lines for at most `limit`. A thread that has not
+    /// finished by then is detached, since the thread may be blocked in a write.
     void stop(std::chrono::milliseconds limit) {
         std::unique_lock lock{m_mutex};
         m_stopping = true;
--- a/src/cornellever/core/text_parsing.hpp
+++ b/src/cornellever/core/text_parsing.hpp
@@ -7,8 +7,8 @@
 
 namespace cornellever {
 
-/// Removes the first space-separated word, and the space after it, from `rest`
-/// and returns the word.
+/// Removes the first word and the space after the word from `rest`, which
+/// contains space-separated words, and returns the word.
 [[nodiscard]] inline std::string_view next_word(std::string_view& rest) {
     const auto separator = rest.find(' ');
     const auto word = rest.substr(0, separator);
@@ -16,7 +16,8 @@
     return word;
 }
 
-/// Parses all of `text` as an unsigned decimal number; `nullopt` when it is not one.
+/// Parses all of `text` as an unsigned decimal number; `nullopt` when `text` is
+/// not such a number.
 [[nodiscard]] inline std::optional<std::uint64_t> parse_unsigned(std::string_view text) {
     std::uint64_t out = 0;
     const auto* const end = text.data() + text.size();
--- a/src/cornellever/ctl/log_line.cpp
+++ b/src/cornellever/ctl/log_line.cpp
@@ -16,8 +16,8 @@
     });
 }
 
-/// Returns the position of the next ` name=`, or the size of `text` when there is
-/// none.
+/// Returns the position of the next ` name=`, or the size of `text` if there is
+/// no such field.
 std::size_t next_field_start(std::string_view text) {
     for (auto equals = text.find('='); equals != std::string_view::npos; equals = text.find('=', equals + 1)) {
         const auto space = text.substr(0, equals).rfind(' ');
--- a/src/cornellever/ctl/log_line.hpp
+++ b/src/cornellever/ctl/log_line.hpp
@@ -15,10 +15,11 @@
     std::string_view event;
     std::map<std::string_view, std::string_view> fields;
 
-    /// The value of a field; empty when it is missing.
+    /// Returns the value of a field; empty when the field is missing.
     [[nodiscard]] std::string_view field(std::string_view name) const;
 
-    /// The value of a field in milliseconds; 0 when it is missing or not a number.
+    /// Returns the value of a field in milliseconds; 0 when the field is missing
+    /// or not a number.
     [[nodiscard]] long long milliseconds(std::string_view name) const;
 };
 
--- a/src/cornellever/ctl/losses.hpp
+++ b/src/cornellever/ctl/losses.hpp
@@ -31,7 +31,8 @@
 
 struct loss_count {
     std::uint64_t requests{0};
-    /// Sum of the requests' ages in milliseconds.
+    /// Sum of the ages of the requests in milliseconds, up to the log line that
+    /// reports the loss.
     long long waited_ms{0};
     long long longest_ms{0};
 
--- a/src/cornellever/ctl/main.cpp
+++ b/src/cornellever/ctl/main.cpp
@@ -74,7 +74,7 @@
 }
 
 /// Prints an error returned by the platform and, for a conflict, how to resolve
-/// it. Returns the exit status.
+/// the conflict. Returns the exit status.
 int print_refusal(const error& refusal) {
     std::printf("refused (%s): %s\n", std::string{to_string(refusal.code)}.c_str(), refusal.message.c_str());
     if (refusal.code == errc::conflict) {
@@ -165,7 +165,8 @@
     return ok;
 }
 
-/// Reads a file; `nullopt`, with a message on standard error, when it cannot be read.
+/// Returns the content of a file. When the file cannot be read, prints a message
+/// to standard error and returns `nullopt`.
 std::optional<std::string> read_log(const std::string& name) {
     std::ifstream file{name};
     if (!file) {
--- a/src/cornellever/ctl/proxy_status.hpp
+++ b/src/cornellever/ctl/proxy_status.hpp
@@ -18,7 +18,7 @@
     std::uint64_t registry_version{0};
     std::uint64_t sessions{0};
     bool store_reachable{false};
-    /// The proxy is in a planned shutdown.
+    /// True if the proxy is draining before a planned shutdown.
     bool leaving{false};
     std::size_t peers_alive{0};
     /// Maps each service to the key of the server that the proxy considers the
--- a/src/cornellever/metrics/latency.hpp
+++ b/src/cornellever/metrics/latency.hpp
@@ -19,12 +19,13 @@
     /// The number of recorded observations.
     [[nodiscard]] std::uint64_t count() const noexcept { return m_count; }
 
-    /// The upper edge of the bin that contains quantile `q` (0 to 1), in
-    /// microseconds, but at most the maximum recorded; 0 when empty.
+    /// Returns the upper edge of the bin that contains quantile `q` (0 to 1), in
+    /// microseconds. The result is at most the recorded maximum, and 0 when the
+    /// histogram is empty.
     [[nodiscard]] double quantile_us(double q) const;
 
-    /// Count, and p50, p90, p99 and maximum in microseconds, as JSON for state
-    /// dumps and reports.
+    /// Returns the count and, in microseconds, p50, p90, p99 and the maximum, as
+    /// JSON for state dumps and reports.
     [[nodiscard]] Json::Value describe() const;
 
     /// Adds the observations of `other`.
--- a/src/cornellever/rpc/channel.cpp
+++ b/src/cornellever/rpc/channel.cpp
@@ -101,9 +101,9 @@
     m_stream.expires_never();
     const auto answer = parse_json(parser.get().body());
     if (!is_response_to(answer, id)) {
-        // The response has the id of another request, so it is late or out of
-        // order. Later responses on this connection could also be matched with
-        // the wrong request, so the connection is closed.
+        // The response has the id of another request, so the response is late or
+        // out of order. Later responses on this connection could also be matched
+        // with the wrong request, so the connection is closed.
         close_as_broken();
         co_return fail(errc::outcome_unknown, std::string{method} + " to " + describe(m_peer) +
                                                   " was answered with the answer to another request");
--- a/src/cornellever/rpc/envelope.cpp
+++ b/src/cornellever/rpc/envelope.cpp
@@ -59,7 +59,7 @@
             return fail(errc::bad_request, "not JSON: " + problem);
         }
     } catch (const Json::Exception& too_deep) {
-        // jsoncpp throws on input that is nested beyond its stack limit.
+        // jsoncpp throws on input with too many nesting levels.
         return fail(errc::bad_request, std::string{"not JSON: "} + too_deep.what());
     }
     return value;
--- a/src/cornellever/rpc/server.cpp
+++ b/src/cornellever/rpc/server.cpp
@@ -89,8 +89,8 @@
         auto request = parser.release();
         auto body = co_await dispatch(request.body(), conn);
         if (conn.stop_answering) {
-            // Keep the connection open, without reading from it, until the client
-            // times out.
+            // Keeps the connection open, without reading from the connection,
+            // until the client times out.
             asio::steady_timer forever{m_executor, std::chrono::hours{24}};
             co_await forever.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             co_return;
@@ -134,8 +134,9 @@
 
 asio::awaitable<result<Json::Value>> server::run(const handler& method_handler, const Json::Value& params,
                                                  connection& conn) {
-    // jsoncpp throws when a field has another type than expected. Malformed
-    // input must fail only its own request, not terminate the process.
+    // jsoncpp throws when a field has another type than expected. Malformed input
+    // must fail only the request that contains the input, not terminate the
+    // process.
     try {
         co_return co_await method_handler(params, conn);
     } catch (const std::exception& problem) {
--- a/src/cornellever/standin/faults.hpp
+++ b/src/cornellever/standin/faults.hpp
@@ -9,7 +9,7 @@
 /// Faults injected into the stand-in platform (a simulated platform for tests),
 /// set at run time with `fault.set`.
 struct faults {
-    /// Every call is refused as `unavailable`, before it has any effect.
+    /// Every call is refused as `unavailable` before the call has any effect.
     bool down{false};
     /// Delay before each call is handled.
     std::chrono::milliseconds added_latency{0};
@@ -18,7 +18,7 @@
     int answers_to_drop{0};
 };
 
-/// Changes the faults that `params` names and leaves the others as they are.
+/// Changes the faults that `params` names and leaves the others unchanged.
 void update(faults& switches, const Json::Value& params);
 
 /// Returns the current faults as JSON, for responses and state dumps.
