--- a/src/cornellever/backend/faults.hpp
+++ b/src/cornellever/backend/faults.hpp
@@ -15,11 +15,11 @@
     /// The server responds to no request, replicates nothing and applies nothing,
     /// like a crashed or hung VM.
     bool frozen{false};
-    /// The server neither sends nor receives log entries, like in a network
+    /// The server neither sends nor receives log entries, as in a network
     /// partition between the instances.
     bool replication_blocked{false};
-    /// The server responds only to replication, like in a network partition
-    /// between the proxies and this instance.
+    /// The server responds only to replication, as in a network partition between
+    /// the proxies and this instance.
     bool caller_traffic_blocked{false};
     /// The number of following `execute` and `commit` calls that take effect but
     /// whose responses are not sent.
--- a/src/cornellever/backend/instance.hpp
+++ b/src/cornellever/backend/instance.hpp
@@ -91,8 +91,9 @@
     /// Waits, at most `wait_ms`, until the log holds the entry that the primary
     /// of `term` wrote at `position`.
     answer await_received(params in, rpc::connection& conn);
-    /// Returns, as the primary of `term`, whether the log contains at `position`
-    /// the entry written in `entry_term`, and the end of the log.
+    /// Returns whether the log contains at `position` the entry written in
+    /// `entry_term`, and the end of the log. Errors: `fenced` when this instance
+    /// is not the primary of `term`.
     answer find_entry(params in, rpc::connection& conn);
     /// Receives log entries from the primary. Returns `matched`, which is true if
     /// this log agrees with the primary's log at `after`, and `received`, the
