--- a/src/cornellever/backend/connection_context.hpp
+++ b/src/cornellever/backend/connection_context.hpp
@@ -8,8 +8,9 @@
 
 namespace cornellever::backend {
 
-/// State of one caller connection: its SQLite connection and its open
-/// transaction, if any. Registers itself in the instance's set of connections.
+/// State of one client connection to the stand-in server (a simulated backend
+/// server for tests): the SQLite connection and the open transaction, if any.
+/// Registers itself in the instance's set of connections.
 struct instance::connection_context : rpc::connection_state {
     connection_context(std::uint64_t connection_id, sqlite_connection connection, std::uint64_t database_generation,
                        std::set<connection_context*>& registry)
@@ -23,7 +24,7 @@
     connection_context(const connection_context&) = delete;
     connection_context& operator=(const connection_context&) = delete;
 
-    /// Rolls back the open transaction, if there is one.
+    /// Rolls back the open transaction, if any.
     void roll_back() {
         if (db.in_transaction()) {
             (void)db.exec("ROLLBACK");
@@ -32,16 +33,19 @@
         pending.clear();
     }
 
-    /// The RPC connection's id; `begin` returns it and `terminate` takes it.
+    /// The id of the RPC connection; `begin` returns this id and `terminate`
+    /// takes it.
     std::uint64_t id;
     sqlite_connection db;
-    /// The database generation that `db` was opened on.
+    /// The database generation (see `database::generation`) on which `db` was
+    /// opened.
     std::uint64_t generation;
     bool in_transaction{false};
-    /// The server rolled back the open transaction and has not yet reported
-    /// it to the caller.
+    /// True if the server has rolled back the open transaction and has not yet
+    /// reported this to the client.
     bool aborted{false};
-    /// Write statements of the open transaction; logged when it commits.
+    /// Write statements of the open transaction, which are appended to the write
+    /// log when the transaction commits.
     std::vector<logged_statement> pending;
 
 private:
