--- a/src/cornellever/accounts/key_digest.hpp
+++ b/src/cornellever/accounts/key_digest.hpp
@@ -10,7 +10,7 @@
 namespace cornellever::accounts {
 
 /// Identifies a client's key by its 128-bit BLAKE2b digest. The key itself is discarded as soon as it has been decoded
-/// from a message, so that no log, dump or other message can contain it.
+/// from the client's message, so that no log, state dump or message to another proxy can contain it.
 class key_digest {
 public:
     static constexpr std::size_t bytes = 16;
--- a/src/cornellever/bench/failover_gap.hpp
+++ b/src/cornellever/bench/failover_gap.hpp
@@ -27,10 +27,11 @@
 
 /// The write outages that callers (client applications) observed.
 struct failover_gap_report {
-    /// Time from the freeze to the next acknowledged write, per round.
+    /// How long after the freeze the next write was acknowledged, per round.
     std::vector<std::chrono::milliseconds> gaps;
     metrics::latency histogram;
-    /// The write outage of the single server without a proxy.
+    /// How long after the freeze the single server without a proxy acknowledged the
+    /// next write; empty if that server was not tested.
     std::optional<std::chrono::milliseconds> naive_gap;
     /// Why the run ended early; empty when every round was completed.
     std::string failure;
--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -212,24 +212,29 @@
     /// How long a service may have neither a registered nor a reachable primary before the primary
     /// counts as lost. Longer than a promotion takes.
     static constexpr std::chrono::milliseconds leaderless_timeout{1800};
-    /// How long to wait for the store's change feed to deliver a new version before a peer is asked
-    /// for it. Half a megabyte takes 0.4 s over the slowest links (10 Mbit/s).
+    /// How long to wait for the store's change feed to deliver a new configuration before it is
+    /// requested from a peer (another proxy). The transfer of half a megabyte takes 0.4 s over the
+    /// slowest links (10 Mbit/s).
     static constexpr std::chrono::milliseconds feed_head_start{500};
-    /// How long a proxy waits before it fetches a new version from another data centre itself. By
-    /// then the proxies of its own data centre that fetch such versions have this one and can pass
-    /// it on, unless they are cut off.
+    /// How long a proxy that does not poll the store waits before it fetches a new configuration or
+    /// registry from another data centre. The two proxies per data centre that do this for the
+    /// others do not wait. Unless these two are cut off, they have the new version by then, and the
+    /// proxy can get it from them.
     static constexpr std::chrono::milliseconds remote_fetch_head_start{1200};
-    /// As `feed_head_start`, for the server registry. It can be longer, because servers announce
-    /// their shutdown and a failed server is detected without the registry.
+    /// How long to wait for the store's change feed to deliver a new server registry before it is
+    /// requested from a peer. This wait can be longer than `feed_head_start`, because servers
+    /// announce their shutdown and a failed server is detected without the registry.
     static constexpr std::chrono::milliseconds registry_head_start{1500};
     /// The traffic thread gets no list of proxies until the list is complete or this much time has
     /// passed. Without a list, it opens only the smallest number of connections.
     static constexpr std::chrono::milliseconds peer_list_timeout{1500};
-    /// Timeout for the start of a peer's snapshot reply, and between two parts of the reply.
+    /// Timeout for the start of a peer's reply to a snapshot request, and between two parts of the
+    /// reply.
     static constexpr std::chrono::milliseconds catch_up_timeout{500};
-    /// Maximum number of configurations that this proxy sends concurrently. A small VM's link can
-    /// transfer a few within a heartbeat period. The proxies that received one pass it on, which
-    /// reaches the others sooner than if all shared one link.
+    /// Maximum number of peers to which this proxy sends the configuration concurrently. The link of
+    /// a small VM can transfer only a few copies of the configuration within a heartbeat period. The
+    /// peers that received a copy pass it on, so that the remaining ones get it sooner than if all
+    /// shared this proxy's link.
     static constexpr std::size_t max_uploads = 4;
     /// Shortest pause after a failed snapshot request. The actual pause is random and at most twice
     /// as long.
--- a/src/cornellever/cluster/primary_judge.cpp
+++ b/src/cornellever/cluster/primary_judge.cpp
@@ -8,23 +8,25 @@
 
 using std::chrono::milliseconds;
 
-/// How long a primary must be unreachable to count as down if its VM replied that no process
-/// listens on the port. The wait covers the case that the end of a connection arrives before that
-/// refusal. It can be short because the refusal shows that the VM itself can be reached.
+/// How long ago an unreachable primary must have last replied to count as down if its VM refused a
+/// connection because no process listens on the port. The wait covers the case that an existing
+/// connection is closed before the refusal arrives. The wait can be short because the refusal shows
+/// that the VM itself can be reached.
 constexpr milliseconds refused_timeout{150};
 
-/// How long a primary must be unreachable to count as down without such a refusal. Silence may also
-/// be caused by a lost packet, which TCP retransmits after 200 ms, or by a pause of this proxy's
-/// own VM.
+/// How long ago an unreachable primary must have last replied to count as down if its VM has not
+/// refused a connection. A missing reply may also be caused by a lost packet, which TCP retransmits
+/// after 200 ms, or by a pause of the VM on which this proxy runs.
 constexpr milliseconds silence_timeout{500};
 
-/// A proxy that got a response from the primary within this time counts as reaching it: proxies
-/// query an otherwise idle primary five times a second.
+/// A proxy counts as reaching the primary if the primary replied to the proxy within this time.
+/// The time covers two of the queries that proxies send an otherwise idle primary five times a
+/// second.
 constexpr milliseconds recent_answer{450};
 
-/// A proxy that knows other proxies but has no report on the primary from a live one may itself be
-/// cut off from the network. It waits this long, so that the others, which would observe a real
-/// failure too, can act first.
+/// How long a proxy waits before it treats an unreachable primary as lost if the proxy knows other
+/// proxies but has no report on the primary from a live one. Such a proxy may itself be cut off from
+/// the network. The wait lets the other proxies, which would also observe a real failure, act first.
 constexpr milliseconds isolated_timeout{2500};
 
 /// How long a primary's registry entry must be missing before the primary is replaced. If the
--- a/src/cornellever/config/load.cpp
+++ b/src/cornellever/config/load.cpp
@@ -85,8 +85,8 @@
         m_out.findings.push_back(ini::finding{where, std::move(message)});
     }
 
-    /// Returns whether the same file has not set the key before, and reports a finding if it has. A later file may
-    /// override a key of an earlier file.
+    /// Returns true if `item` is the first entry of its file that sets this key. Otherwise reports a finding and
+    /// returns false. A later file may override a key of an earlier file.
     bool is_first_assignment(const ini::entry& item) {
         const auto key = item.section + "\n" + item.key;
         const auto [found, inserted] = m_assigned.emplace(key, item.where);
--- a/src/cornellever/ctl/apply.hpp
+++ b/src/cornellever/ctl/apply.hpp
@@ -16,7 +16,8 @@
     std::uint64_t version{0};
     /// True if the version was given on the command line, false if it was read
     /// from the configuration folder. A version from the folder is ignored when
-    /// the platform has no configuration yet.
+    /// the platform (the external service that keeps the configuration and the list
+    /// of VMs) has no configuration yet.
     bool from_command_line{false};
 };
 
--- a/src/cornellever/ctl/base_version.hpp
+++ b/src/cornellever/ctl/base_version.hpp
@@ -10,8 +10,9 @@
 
 /// Returns the configuration version that a folder is based on, read from the
 /// folder's file `.applied`; `nullopt` when the file does not exist. `fetch` and
-/// `apply` write this file, and the next `apply` requires that the platform still
-/// has that version.
+/// `apply` write this file, and the next `apply` requires that the platform (the
+/// external service that keeps the configuration and the list of VMs) still has that
+/// version.
 [[nodiscard]] std::optional<std::uint64_t> read_base_version(const std::filesystem::path& folder);
 
 /// Writes the folder's file `.applied`. Errors: `internal` when the file cannot
--- a/src/cornellever/ctl/main.cpp
+++ b/src/cornellever/ctl/main.cpp
@@ -73,8 +73,9 @@
     return ok;
 }
 
-/// Prints an error returned by the platform and, for a conflict, how to resolve
-/// the conflict. Returns the exit status.
+/// Prints an error returned by the platform (the external service that keeps the
+/// configuration and the list of VMs) and, for a conflict, how to resolve the
+/// conflict. Returns the exit status.
 int print_refusal(const error& refusal) {
     std::printf("refused (%s): %s\n", std::string{to_string(refusal.code)}.c_str(), refusal.message.c_str());
     if (refusal.code == errc::conflict) {
--- a/src/cornellever/ini/reader.cpp
+++ b/src/cornellever/ini/reader.cpp
@@ -16,8 +16,9 @@
 /// and the terminating null character.
 constexpr std::size_t max_line_bytes = 198;
 
-/// Line source for inih. It supplies an optional synthetic section header, which restores the current section after a
-/// syntax error, and then `lines` from index `next` on.
+/// The input that `feed_line` passes to inih line by line: first `header`, unless it is empty, and then `lines` from
+/// index `next` on. When parsing is restarted after a syntax error, `header` is the header of the section that contains
+/// the remaining lines.
 struct line_feed {
     const std::vector<std::string>* lines{nullptr};
     std::size_t next{0};
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -30,8 +30,9 @@
     bool not_preferred{false};
 };
 
-/// A database's stored record (its term, its primary and the proxy that claimed the term) with the version of its row
-/// in the platform's table; version 0 if there is no row yet.
+/// A database's stored record (its term, its primary and the proxy that claimed the term) with the version of the row
+/// that holds the record; version 0 if there is no row yet. The row is in the table of the platform, the external
+/// service that keeps the configuration and the list of machines.
 struct versioned_record {
     group_record record;
     std::uint64_t version{0};
--- a/src/cornellever/proxy/group_record.hpp
+++ b/src/cornellever/proxy/group_record.hpp
@@ -13,7 +13,8 @@
 /// Whether a failover is promoting a new primary or the recorded primary is in place.
 enum class group_phase { promoting, settled };
 
-/// The row of a database in the platform's table, a key-value store with versioned rows. A proxy allocates a term by
+/// The row of a database in the platform's table, a key-value store with versioned rows. The platform is the external
+/// service that keeps the configuration and the list of machines. A proxy allocates a term by
 /// writing the row with a higher term by compare-and-set: if several proxies try concurrently, exactly one succeeds.
 /// The term is the fencing token: instances that have accepted it refuse older terms.
 struct group_record {
--- a/src/cornellever/proxy/platform_store.hpp
+++ b/src/cornellever/proxy/platform_store.hpp
@@ -10,7 +10,8 @@
 
 namespace cornellever::proxy {
 
-/// Implements `record_store`, the failover's access to its records, on the platform's table over RPC.
+/// Implements `record_store`, which reads and writes the records of failovers, by RPC on the table of the platform, the
+/// external service that keeps the configuration and the list of machines.
 class platform_store {
 public:
     platform_store(asio::any_io_executor executor, tcp::endpoint platform, std::chrono::milliseconds deadline);
--- a/src/cornellever/proxy/router.hpp
+++ b/src/cornellever/proxy/router.hpp
@@ -36,7 +36,8 @@
     /// Applies a heartbeat result from the control thread.
     void record(const heartbeat& report) { m_backends.record(report); }
 
-    /// Applies the platform's list of machines from the control thread; see `backend_connections::set_machines`.
+    /// Applies the list of machines that the control thread polled from the platform, the external service that keeps
+    /// the configuration and this list; see `backend_connections::set_machines`.
     void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
         m_backends.set_machines(leaving, proxies);
     }
--- a/src/cornellever/proxy/settings.hpp
+++ b/src/cornellever/proxy/settings.hpp
@@ -9,7 +9,8 @@
 namespace cornellever::proxy {
 
 /// The settings of one proxy as unparsed text: its name, its zone and the addresses. Everything else comes from the
-/// configuration that the proxy reads from the platform.
+/// configuration that the proxy reads from the platform, the external service that keeps the configuration and the list
+/// of machines.
 struct settings_text {
     std::string name;
     std::string zone;
--- a/src/cornellever/proxy/topology.hpp
+++ b/src/cornellever/proxy/topology.hpp
@@ -55,7 +55,8 @@
     std::int64_t staleness_ms{0};
     std::int64_t primary_contact_age_ms{0};
     std::chrono::steady_clock::time_point last_heartbeat_at{};
-    /// Time since which the platform lists the machine as leaving; empty if it does not.
+    /// Since when the platform (the external service that keeps the configuration and the list of machines) has listed
+    /// the instance's machine as leaving; empty if the machine is not listed as leaving.
     std::optional<std::chrono::steady_clock::time_point> leaving_since;
 
     /// Whether new requests and transactions may be sent to this instance. A leaving replica gets none; a leaving
--- a/src/cornellever/proxy/transaction_table.cpp
+++ b/src/cornellever/proxy/transaction_table.cpp
@@ -10,8 +10,9 @@
 
 constexpr auto retry_pause = std::chrono::milliseconds{20};
 
-/// Whether the outcome of a failed commit must be looked up in the record of request ids: the response to the commit
-/// was lost, or the request's id was already recorded.
+/// Whether the outcome of a failed commit must be looked up in `request_record`, the table of request ids that the
+/// proxies keep in the caller's (client application's) database. This is necessary if the response to the commit was
+/// lost or if the request's id was already recorded.
 bool outcome_needs_record(const error& failure) noexcept {
     return !guarantees_not_executed(failure.code) || failure.code == errc::conflict;
 }
--- a/src/cornellever/routing/read_floor.cpp
+++ b/src/cornellever/routing/read_floor.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// Samples that are closer together than this are merged, which keeps the list short. A read floor may then be newer
-/// than necessary by at most this time.
+/// Samples that are closer together than this are merged, which keeps the list short. The read floor may then be a log
+/// position that the primary reached later than the lowest sufficient position, by at most this time.
 constexpr auto min_spacing = std::chrono::milliseconds{40};
 
 /// How long samples are kept: well above the freshness bounds of routes (up to 2.5 s).
 constexpr auto retention = std::chrono::seconds{10};
 
-/// The longest time by which replicas apply a commit after the primary. The delay is 20 to 50 ms on average and 300 ms
-/// at worst.
+/// The longest delay between a commit on the primary and its application on a replica. The delay is 20 to 50 ms on
+/// average and 300 ms at worst.
 constexpr auto max_apply_delay = std::chrono::milliseconds{300};
 
 } // namespace
--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Records a failed exchange with a server.
+    /// Records that a server did not reply to an exchange before the deadline. Other kinds of failure are ignored here.
     void note_failure(entry& from, link_failure why) {
         if (why == link_failure::silent) {
             from.timed_out_at = boot_clock::now();
--- a/src/cornellever/routing/service_pool_queue.ipp
+++ b/src/cornellever/routing/service_pool_queue.ipp
@@ -100,8 +100,9 @@
     std::vector<server_capacity> out;
     out.reserve(m_entries.size());
     for (const auto& [id, at] : m_entries) {
-        // If connections belong to accounts, any idle connection can be replaced by one of another account within the
-        // time of a handshake.
+        // If connections belong to accounts, the pool opens a connection for the account of a waiting request and
+        // replaces an idle connection of another account if necessary. This takes only a handshake, so the capacity is
+        // limited by the whole budget and not by the number of connections that are open now.
         const auto connections =
             m_account_traffic && !at->open_connections.empty() ? m_budget : at->open_connections.size();
         out.push_back({std::min(max_concurrency(*at), connections),
--- a/src/cornellever/standin/faults.hpp
+++ b/src/cornellever/standin/faults.hpp
@@ -6,8 +6,9 @@
 
 namespace cornellever::standin {
 
-/// Faults injected into the stand-in platform (a simulated platform for tests),
-/// set at run time with `fault.set`.
+/// Faults injected into the simulated platform, set at run time with the RPC
+/// method `fault.set`. The platform is the external service that keeps the
+/// configuration and the list of VMs of a deployment; tests use the simulated one.
 struct faults {
     /// Every call is refused as `unavailable` before the call has any effect.
     bool down{false};
--- a/src/cornellever/standin/platform_service.hpp
+++ b/src/cornellever/standin/platform_service.hpp
@@ -12,7 +12,7 @@
 
 namespace cornellever::standin {
 
-/// Settings of the stand-in platform (see `platform_service`).
+/// Settings of the simulated platform (see `platform_service`).
 struct platform_settings {
     /// The delay after which readers see a change of the VM list.
     std::chrono::milliseconds vm_list_lag{2000};
@@ -21,8 +21,9 @@
     std::filesystem::path snapshot;
 };
 
-/// A stand-in for the platform that the proxies depend on, used in tests. Holds a
-/// transactional table, an object store and the list of VMs in memory. The RPC
+/// Simulates the platform for tests. The platform is the external service that
+/// keeps the configuration and the list of VMs of a deployment. The simulation holds
+/// a transactional table, an object store and the list of VMs in memory. The RPC
 /// methods are `table.*`, `object.*`, `vms.*`, `fault.set` and `dump`.
 /// Single-threaded.
 class platform_service {
--- a/src/cornellever/standin/table.hpp
+++ b/src/cornellever/standin/table.hpp
@@ -13,8 +13,10 @@
 
 namespace cornellever::standin {
 
-/// A versioned row of the transactional table. Versions start at 1 and increase
-/// by one with each write; 0 stands for a missing row.
+/// A versioned row of the transactional table. The table simulates, for tests,
+/// that of the platform: the external service that keeps the configuration and the
+/// list of VMs of a deployment. Versions start at 1 and increase by one with each
+/// write; 0 stands for a missing row.
 struct row {
     std::uint64_t version{0};
     Json::Value value;
@@ -33,7 +35,7 @@
     Json::Value value;
 };
 
-/// The platform's transactional table, held in memory: versioned rows with
+/// The in-memory table of the simulated platform. It has versioned rows,
 /// compare-and-set and small multi-row transactions.
 class table {
 public:
--- a/src/cornellever/standin/vm_list.hpp
+++ b/src/cornellever/standin/vm_list.hpp
@@ -8,8 +8,10 @@
 
 namespace cornellever::standin {
 
-/// A VM's state as the platform reports it: running (`live`), about to be stopped
-/// (`leaving`) or removed (`gone`).
+/// A VM's state: running (`live`), about to be stopped (`leaving`) or removed
+/// (`gone`). The state is reported by the platform, the external service that keeps
+/// the configuration and the list of VMs of a deployment. `standin` simulates the
+/// platform for tests.
 enum class vm_state { live, leaving, gone };
 
 /// One VM of the list. `kind` is what runs on the VM, such as "proxy" or
@@ -19,8 +21,9 @@
     std::string kind;
 };
 
-/// The platform's list of VMs that are running or about to be stopped. The list
-/// is eventually consistent: readers see a change only after the delay `lag`.
+/// The simulated platform's list of VMs that are running or about to be stopped.
+/// The list is eventually consistent: readers see a change only after the delay
+/// `lag`.
 class vm_list {
 public:
     using clock = std::chrono::steady_clock;
