--- a/src/cornellever/bench/failover_gap.hpp
+++ b/src/cornellever/bench/failover_gap.hpp
@@ -31,7 +31,7 @@
     std::vector<std::chrono::milliseconds> gaps;
     metrics::latency histogram;
     /// How long after the freeze the single server without a proxy acknowledged the
-    /// next write; empty if that server was not tested.
+    /// next write; empty if no such write was measured.
     std::optional<std::chrono::milliseconds> naive_gap;
     /// Why the run ended early; empty when every round was completed.
     std::string failure;
--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -205,7 +205,7 @@
     static constexpr std::chrono::milliseconds promotion_delay_step{250};
     static constexpr std::ptrdiff_t max_promotion_delay_steps = 6;
     static constexpr std::chrono::milliseconds retry_pause{300};
-    /// Delay after an attempt that found no suitable replica, to let a new server register.
+    /// Delay after a promotion attempt that found no suitable replica, to let a new server register.
     static constexpr std::chrono::milliseconds successor_wait{800};
     /// Delay after another proxy claimed the promotion. A promotion takes 1.2 s.
     static constexpr std::chrono::milliseconds other_claim_pause{1200};
@@ -226,7 +226,7 @@
     /// announce their shutdown and a failed server is detected without the registry.
     static constexpr std::chrono::milliseconds registry_head_start{1500};
     /// The traffic thread gets no list of proxies until the list is complete or this much time has
-    /// passed. Without a list, it opens only the smallest number of connections.
+    /// passed. Without a list, the traffic thread opens only the smallest number of connections.
     static constexpr std::chrono::milliseconds peer_list_timeout{1500};
     /// Timeout for the start of a peer's reply to a snapshot request, and between two parts of the
     /// reply.
@@ -245,8 +245,8 @@
     /// Number of live proxies listed in a gossip message. At six gossip exchanges per proxy and
     /// second, each of 64 proxies is mentioned about once a second.
     static constexpr std::size_t gossiped_peers = 6;
-    /// Maximum number of recent heartbeat questions remembered, to which answers are matched.
-    /// Answers to older questions arrive too late to be of use.
+    /// Maximum number of recent heartbeat questions that are kept so that replies can be matched to
+    /// them. Replies to older questions arrive too late to be of use.
     static constexpr std::size_t max_open_questions = 16;
     /// Maximum size of a message. A primary report takes about 60 bytes per service.
     static constexpr std::size_t max_message_bytes = 8192;
--- a/src/cornellever/proxy/backend_connections.hpp
+++ b/src/cornellever/proxy/backend_connections.hpp
@@ -48,8 +48,8 @@
     void record(const heartbeat& report);
 
     /// Applies the list of machines from the platform, the external service that keeps the configuration and this list.
-    /// `leaving` holds the machines that are being taken out of service;
-    /// `proxies` is the number of running proxies, which share each instance's connections equally.
+    /// `leaving` holds the machines that are being taken out of service; `proxies` is the number of running proxies,
+    /// which share each instance's connections equally.
     void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies);
 
     /// Returns the backend instances with their last reported state.
--- a/src/cornellever/proxy/backoff.hpp
+++ b/src/cornellever/proxy/backoff.hpp
@@ -8,8 +8,8 @@
 
 /// Exponential backoff with jitter: the full pause doubles after each attempt, up to a maximum. Each pause is drawn at
 /// random between half the full pause and the full pause, so that proxies whose attempts failed at the same time do not
-/// all retry at the same time and overload the platform (the external service that keeps the
-/// configuration and the list of machines) when it has just recovered.
+/// all retry at the same time and overload the platform (the external service that keeps the configuration and the list
+/// of machines) when it has just recovered.
 class backoff {
 public:
     backoff(std::chrono::milliseconds initial, std::chrono::milliseconds max, std::uint64_t seed)
--- a/src/cornellever/proxy/group_record.hpp
+++ b/src/cornellever/proxy/group_record.hpp
@@ -14,9 +14,9 @@
 enum class group_phase { promoting, settled };
 
 /// The row of a database in the platform's table, a key-value store with versioned rows. The platform is the external
-/// service that keeps the configuration and the list of machines. A proxy allocates a term by
-/// writing the row with a higher term by compare-and-set: if several proxies try concurrently, exactly one succeeds.
-/// The term is the fencing token: instances that have accepted it refuse older terms.
+/// service that keeps the configuration and the list of machines. A proxy allocates a term by writing the row with a
+/// higher term by compare-and-set: if several proxies try concurrently, exactly one succeeds. The term is the fencing
+/// token: instances that have accepted it refuse older terms.
 struct group_record {
     std::uint64_t term{0};
     group_phase phase{group_phase::settled};
