--- a/src/cornellever/proxy/config_follower.cpp
+++ b/src/cornellever/proxy/config_follower.cpp
@@ -30,7 +30,8 @@
 }
 
 void config_follower::log_failure(const error& failure) {
-    // Log one failure per outage only: the platform may be unreachable for hours.
+    // Log one failure per outage only: the platform, the external service that keeps the configuration, may be
+    // unreachable for hours.
     if (!m_failing) {
         log_event(event::config_fetch_failed,
                   "reason=\"" + failure.message + "\" version_in_force=" + std::to_string(m_version));
--- a/src/cornellever/proxy/primary_monitor.cpp
+++ b/src/cornellever/proxy/primary_monitor.cpp
@@ -119,7 +119,8 @@
     if (!outcome.promoted()) {
         log_event(event::failover_given_up, fields + " reason=" + outcome.event);
         // When a data centre fails, every proxy attempts failovers of many databases. The pause limits the load on the
-        // platform to a few attempts per second for each database.
+        // platform, the external service that keeps the records of failovers, to a few attempts per second for each
+        // database.
         co_await sleep_for(retry.next());
         co_return;
     }
