--- a/src/cornellever/accounts/authorizer.hpp
+++ b/src/cornellever/accounts/authorizer.hpp
@@ -17,8 +17,8 @@
     lease_ended,
 };
 
-[[nodiscard]] constexpr std::string_view to_string(permission what) noexcept {
-    switch (what) {
+[[nodiscard]] constexpr std::string_view to_string(permission verdict) noexcept {
+    switch (verdict) {
     case permission::granted:
         return "granted";
     case permission::unknown_key:
@@ -35,15 +35,17 @@
 public:
     using time_point = boot_clock::time_point;
 
-    /// `who` is null when the request belongs to no account.
+    /// `matched_account` is null when the request belongs to no account.
     struct decision {
         permission verdict{permission::granted};
-        const account* who{nullptr};
+        const account* matched_account{nullptr};
 
         [[nodiscard]] bool granted() const noexcept { return verdict == permission::granted; }
-        [[nodiscard]] int account_priority() const noexcept { return who == nullptr ? 0 : who->priority; }
+        [[nodiscard]] int account_priority() const noexcept {
+            return matched_account == nullptr ? 0 : matched_account->priority;
+        }
         [[nodiscard]] std::string_view account_name() const noexcept {
-            return who == nullptr ? std::string_view{} : std::string_view{who->name};
+            return matched_account == nullptr ? std::string_view{} : std::string_view{matched_account->name};
         }
     };
 
@@ -53,15 +55,15 @@
     void confirm_current(time_point at) { m_lease.confirm_current(at); }
 
     /// Checks a request; `keyless` says that its database accepts requests without a key.
-    [[nodiscard]] decision ask(bool keyless, const key_digest& key, time_point now) const {
+    [[nodiscard]] decision authorize(bool keyless, const key_digest& key, time_point now) const {
         if (keyless) {
             return {};
         }
-        const auto* who = m_accounts.find_by_key(key);
-        if (who == nullptr) {
+        const auto* matched_account = m_accounts.find_by_key(key);
+        if (matched_account == nullptr) {
             return {permission::unknown_key, nullptr};
         }
-        return {m_lease.is_valid(now) ? permission::granted : permission::lease_ended, who};
+        return {m_lease.is_valid(now) ? permission::granted : permission::lease_ended, matched_account};
     }
 
     [[nodiscard]] const directory& accounts() const noexcept { return m_accounts; }
--- a/src/cornellever/session/statement_engine.hpp
+++ b/src/cornellever/session/statement_engine.hpp
@@ -36,7 +36,7 @@
     /// The statement's deadline.
     [[nodiscard]] boot_clock::time_point until() const { return arrival + route.statement_timeout; }
     [[nodiscard]] accounts::authorizer::decision permitted() const {
-        return authorizer.ask(route.keyless, session.key, boot_clock::now());
+        return authorizer.authorize(route.keyless, session.key, boot_clock::now());
     }
 };
 
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -25,7 +25,7 @@
         reason = sql::to_string(why);
         return sql::statement_error{why, opening.database};
     }
-    const auto permission = m_gate.ask(route->second.keyless, opening.key, boot_clock::now());
+    const auto permission = m_gate.authorize(route->second.keyless, opening.key, boot_clock::now());
     if (permission.verdict == accounts::permission::unknown_key) {
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::unknown_key, "the key is not known"};
@@ -67,7 +67,7 @@
     if (route == m_config.routes.end()) {
         return std::nullopt;
     }
-    const auto permission = m_gate.ask(route->second.keyless, active.state.key, boot_clock::now());
+    const auto permission = m_gate.authorize(route->second.keyless, active.state.key, boot_clock::now());
     if (permission.verdict != accounts::permission::unknown_key) {
         return std::nullopt;
     }
@@ -115,12 +115,12 @@
     if (!m_limits.admit || route == m_config.routes.end()) {
         co_return std::nullopt;
     }
-    const auto permission = m_gate.ask(route->second.keyless, active.state.key, boot_clock::now());
-    if (permission.who == nullptr || !permission.who->limit) {
+    const auto permission = m_gate.authorize(route->second.keyless, active.state.key, boot_clock::now());
+    if (permission.matched_account == nullptr || !permission.matched_account->limit) {
         co_return std::nullopt;
     }
-    const auto account = permission.who->name;
-    const auto verdict = co_await m_limits.admit(account, *permission.who->limit);
+    const auto account = permission.matched_account->name;
+    const auto verdict = co_await m_limits.admit(account, *permission.matched_account->limit);
     if (verdict.what == limits::admission_result::kind::granted) {
         co_return std::nullopt;
     }
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -156,11 +156,11 @@
 BOOST_AUTO_TEST_CASE(keyless_databases_need_neither_key_nor_lease) {
     accounts::authorizer authorizer{accounts::configuration_lease{5000ms}};
     authorizer.set_accounts(two_accounts());
-    BOOST_TEST(authorizer.ask(true, key_digest::of("whatever"), start).granted());
-    BOOST_TEST((authorizer.ask(false, key_digest::of("whatever"), start).verdict == permission::unknown_key));
-    BOOST_TEST((authorizer.ask(false, key_digest::of("key-yard"), start).verdict == permission::lease_ended));
+    BOOST_TEST(authorizer.authorize(true, key_digest::of("whatever"), start).granted());
+    BOOST_TEST((authorizer.authorize(false, key_digest::of("whatever"), start).verdict == permission::unknown_key));
+    BOOST_TEST((authorizer.authorize(false, key_digest::of("key-yard"), start).verdict == permission::lease_ended));
     authorizer.confirm_current(start);
-    BOOST_TEST(authorizer.ask(false, key_digest::of("key-yard"), start).account_name() == "yard");
+    BOOST_TEST(authorizer.authorize(false, key_digest::of("key-yard"), start).account_name() == "yard");
 }
 
 // A decision must refer to the name stored in the account: a view of a temporary copy would dangle.
@@ -171,8 +171,8 @@
     all.add_key(key_digest::of("key"), name);
     accounts::authorizer authorizer;
     authorizer.set_accounts(all);
-    const auto decision = authorizer.ask(false, key_digest::of("key"), start);
-    BOOST_TEST(decision.account_name().data() == decision.who->name.data());
+    const auto decision = authorizer.authorize(false, key_digest::of("key"), start);
+    BOOST_TEST(decision.account_name().data() == decision.matched_account->name.data());
     BOOST_TEST(decision.account_name() == name);
 }
 
