--- a/src/cornellever/limits/limit_coordinator.cpp
+++ b/src/cornellever/limits/limit_coordinator.cpp
@@ -40,24 +40,25 @@
     return coordinators_among(m_proxies, account, limit, m_bound);
 }
 
-bool limit_coordinator::is_coordinator_among(std::span<const std::string> proxies, const accounts::account& who) const {
-    const auto chosen = coordinators_among(proxies, who.name, *who.limit, m_bound);
+bool limit_coordinator::is_coordinator_among(std::span<const std::string> proxies,
+                                             const accounts::account& account) const {
+    const auto chosen = coordinators_among(proxies, account.name, *account.limit, m_bound);
     return std::ranges::find(chosen, m_self) != chosen.end();
 }
 
-limit_share limit_coordinator::current_share(const accounts::account& who) const {
-    return share_of(*who.limit, m_bound, coordinator_count(*who.limit, m_bound, m_proxies.size()));
+limit_share limit_coordinator::current_share(const accounts::account& account) const {
+    return share_of(*account.limit, m_bound, coordinator_count(*account.limit, m_bound, m_proxies.size()));
 }
 
 /// Since when this proxy is the only holder of its share. A proxy that held the share before may not know for up to
 /// `takeover_delay` that it has been replaced.
-limit_coordinator::time_point limit_coordinator::share_held_since(const accounts::account& who) const {
+limit_coordinator::time_point limit_coordinator::share_held_since(const accounts::account& account) const {
     auto out = m_complete_since;
     if (m_discarded_until != time_point{}) {
         out = std::max(out, m_discarded_until + takeover_delay);
     }
     for (const auto& item : m_former_lists) {
-        if (!is_coordinator_among(item.names, who)) {
+        if (!is_coordinator_among(item.names, account)) {
             out = std::max(out, item.replaced_at + takeover_delay);
         }
     }
@@ -65,40 +66,42 @@
 }
 
 /// Creates the bucket of a share at the first request, filled as if it had existed since the share was held.
-token_bucket limit_coordinator::make_bucket(const accounts::account& who) const {
-    const auto share = current_share(who);
-    const auto since = share_held_since(who);
+token_bucket limit_coordinator::make_bucket(const accounts::account& account) const {
+    const auto share = current_share(account);
+    const auto since = share_held_since(account);
     const bool never_granted = m_first_start && since == m_complete_since;
     return {share, never_granted ? share.capacity : share.initial_level, since};
 }
 
-limit_coordinator::share_state& limit_coordinator::share_for(const accounts::account& who, time_point now) {
-    auto found = m_shares.find(who.name);
+limit_coordinator::share_state& limit_coordinator::share_for(const accounts::account& account, time_point now) {
+    auto found = m_shares.find(account.name);
     const bool known = found != m_shares.end();
-    if (known && found->second.generation == m_generation && found->second.limit == *who.limit) {
+    if (known && found->second.generation == m_generation && found->second.limit == *account.limit) {
         return found->second;
     }
-    const bool coordinated = is_coordinator_among(m_proxies, who);
+    const bool coordinated = is_coordinator_among(m_proxies, account);
     if (coordinated && known && found->second.coordinated) {
-        found->second.bucket.set_share(current_share(who), now);
-        found->second.limit = *who.limit;
+        found->second.bucket.set_share(current_share(account), now);
+        found->second.limit = *account.limit;
         found->second.generation = m_generation;
         return found->second;
     }
-    share_state created{
-        .coordinated = coordinated, .limit = *who.limit, .generation = m_generation, .bucket = make_bucket(who)};
-    return m_shares.insert_or_assign(who.name, std::move(created)).first->second;
+    share_state created{.coordinated = coordinated,
+                        .limit = *account.limit,
+                        .generation = m_generation,
+                        .bucket = make_bucket(account)};
+    return m_shares.insert_or_assign(account.name, std::move(created)).first->second;
 }
 
-grant_response limit_coordinator::ask(std::string_view account, const accounts::authorizer& authorizer,
-                                      time_point now) {
-    const auto* who = authorizer.accounts().find(account);
+grant_response limit_coordinator::grant(std::string_view account_name, const accounts::authorizer& authorizer,
+                                        time_point now) {
+    const auto* account = authorizer.accounts().find(account_name);
     // Without a valid configuration lease this proxy may have been replaced by the others, or may know an outdated
     // limit.
-    if (who == nullptr || !who->limit || !m_complete || !authorizer.lease().is_valid(now)) {
+    if (account == nullptr || !account->limit || !m_complete || !authorizer.lease().is_valid(now)) {
         return {.outcome = grant_outcome::not_coordinator};
     }
-    auto& share = share_for(*who, now);
+    auto& share = share_for(*account, now);
     if (!share.coordinated) {
         return {.outcome = grant_outcome::not_coordinator};
     }
--- a/src/cornellever/limits/limit_coordinator.hpp
+++ b/src/cornellever/limits/limit_coordinator.hpp
@@ -36,7 +36,8 @@
     void set_proxies(std::vector<std::string> names, time_point now, bool complete = true);
 
     /// Takes one operation from this proxy's share of an account's limit.
-    [[nodiscard]] grant_response ask(std::string_view account, const accounts::authorizer& authorizer, time_point now);
+    [[nodiscard]] grant_response grant(std::string_view account_name, const accounts::authorizer& authorizer,
+                                       time_point now);
 
     /// Names of the proxies that coordinate an account's limit.
     [[nodiscard]] std::vector<std::string> coordinators(std::string_view account,
@@ -62,11 +63,12 @@
         time_point replaced_at;
     };
 
-    [[nodiscard]] bool is_coordinator_among(std::span<const std::string> proxies, const accounts::account& who) const;
-    [[nodiscard]] limit_share current_share(const accounts::account& who) const;
-    [[nodiscard]] time_point share_held_since(const accounts::account& who) const;
-    [[nodiscard]] token_bucket make_bucket(const accounts::account& who) const;
-    share_state& share_for(const accounts::account& who, time_point now);
+    [[nodiscard]] bool is_coordinator_among(std::span<const std::string> proxies,
+                                            const accounts::account& account) const;
+    [[nodiscard]] limit_share current_share(const accounts::account& account) const;
+    [[nodiscard]] time_point share_held_since(const accounts::account& account) const;
+    [[nodiscard]] token_bucket make_bucket(const accounts::account& account) const;
+    share_state& share_for(const accounts::account& account, time_point now);
 
     std::string m_self;
     limit_bound m_bound;
--- a/src/cornellever/limits/limiter.hpp
+++ b/src/cornellever/limits/limiter.hpp
@@ -29,7 +29,7 @@
 template <typename T>
 concept grant_channel = requires(T channel, const asio::ip::udp::endpoint& to, const std::string& account,
                                  boot_clock::time_point until) {
-    { channel.ask(to, account, until) } -> std::same_as<asio::awaitable<std::optional<grant_response>>>;
+    { channel.request_grant(to, account, until) } -> std::same_as<asio::awaitable<std::optional<grant_response>>>;
 };
 
 /// Result of admission control: whether an operation may run under its account's limit.
@@ -41,7 +41,7 @@
         unknown,
     };
 
-    kind what{kind::granted};
+    kind outcome{kind::granted};
     /// After what time a retry is useful.
     std::chrono::milliseconds wait{0};
     /// Number of coordinators that were asked.
@@ -71,8 +71,9 @@
 private:
     [[nodiscard]] std::vector<const coordinator_endpoint*>
     coordinators_in_order(std::string_view account, const accounts::rate_limit& limit, time_point now);
-    asio::awaitable<std::optional<grant_response>> ask(const coordinator_endpoint& target, const std::string& account,
-                                                       const accounts::authorizer& authorizer);
+    asio::awaitable<std::optional<grant_response>> request_grant(const coordinator_endpoint& target,
+                                                                 const std::string& account,
+                                                                 const accounts::authorizer& authorizer);
 
     /// Number of coordinators that may fail to respond before an operation is given up. Those that respond are asked
     /// one after another, since one share may be used up while others are not.
@@ -136,18 +137,18 @@
 }
 
 template <grant_channel Channel>
-asio::awaitable<std::optional<grant_response>> limiter<Channel>::ask(const coordinator_endpoint& target,
-                                                                     const std::string& account,
-                                                                     const accounts::authorizer& authorizer) {
+asio::awaitable<std::optional<grant_response>> limiter<Channel>::request_grant(const coordinator_endpoint& target,
+                                                                               const std::string& account,
+                                                                               const accounts::authorizer& authorizer) {
     if (target.name == m_self) {
-        co_return m_coordinator.ask(account, authorizer, boot_clock::now());
+        co_return m_coordinator.grant(account, authorizer, boot_clock::now());
     }
     const auto name = target.name;
     if (const auto found = m_suspects.find(name); found != m_suspects.end()) {
         // This request probes it; other requests continue to ask it last.
         found->second = boot_clock::now();
     }
-    auto response = co_await m_channel.ask(target.address, account, boot_clock::now() + response_timeout);
+    auto response = co_await m_channel.request_grant(target.address, account, boot_clock::now() + response_timeout);
     if (response) {
         m_suspects.erase(name);
     } else {
@@ -175,7 +176,7 @@
     std::size_t unanswered = 0;
     for (const auto& target : order) {
         ++out.asked;
-        const auto response = co_await ask(target, account, authorizer);
+        const auto response = co_await request_grant(target, account, authorizer);
         if (!response && ++unanswered == max_unanswered) {
             break;
         }
@@ -185,11 +186,11 @@
         if (response->outcome == grant_outcome::granted) {
             co_return admission_result{admission_result::kind::granted, std::chrono::milliseconds{0}, out.asked};
         }
-        const bool first = out.what != admission_result::kind::used_up;
-        out.what = admission_result::kind::used_up;
+        const bool first = out.outcome != admission_result::kind::used_up;
+        out.outcome = admission_result::kind::used_up;
         out.wait = first ? response->wait : std::min(out.wait, response->wait);
     }
-    if (out.what == admission_result::kind::used_up) {
+    if (out.outcome == admission_result::kind::used_up) {
         m_used_up.insert_or_assign(std::move(account), std::pair{boot_clock::now() + used_up_duration, out.wait});
     }
     co_return out;
--- a/src/cornellever/limits/udp_grant_channel.cpp
+++ b/src/cornellever/limits/udp_grant_channel.cpp
@@ -20,8 +20,8 @@
     return {};
 }
 
-asio::awaitable<std::optional<grant_response>> udp_grant_channel::ask(asio::ip::udp::endpoint to, std::string account,
-                                                                      boot_clock::time_point until) {
+asio::awaitable<std::optional<grant_response>>
+udp_grant_channel::request_grant(asio::ip::udp::endpoint to, std::string account, boot_clock::time_point until) {
     pending_request own{asio::steady_timer{m_executor}};
     const auto nonce = ++m_last_nonce;
     m_pending.emplace(nonce, &own);
--- a/src/cornellever/limits/udp_grant_channel.hpp
+++ b/src/cornellever/limits/udp_grant_channel.hpp
@@ -28,8 +28,8 @@
     [[nodiscard]] result<void> start(const asio::ip::udp::endpoint& address);
 
     /// Requests a grant; nothing when no response arrives by `until`.
-    asio::awaitable<std::optional<grant_response>> ask(asio::ip::udp::endpoint to, std::string account,
-                                                       boot_clock::time_point until);
+    asio::awaitable<std::optional<grant_response>> request_grant(asio::ip::udp::endpoint to, std::string account,
+                                                                 boot_clock::time_point until);
 
 private:
     struct pending_request {
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -120,18 +120,18 @@
         co_return std::nullopt;
     }
     const auto account = permission.matched_account->name;
-    const auto verdict = co_await m_limits.admit(account, *permission.matched_account->limit);
-    if (verdict.what == limits::admission_result::kind::granted) {
+    const auto admission = co_await m_limits.admit(account, *permission.matched_account->limit);
+    if (admission.outcome == limits::admission_result::kind::granted) {
         co_return std::nullopt;
     }
-    const bool used_up = verdict.what == limits::admission_result::kind::used_up;
+    const bool used_up = admission.outcome == limits::admission_result::kind::used_up;
     ++(used_up ? m_counters.over_limit_refusals : m_counters.unknown_limit_refusals);
     log_event(event::limit_refused, "request=" + request.id + " database=" + active.state.database +
                                         " account=" + account + " reason=" + (used_up ? "used_up" : "no_coordinator") +
-                                        " asked=" + std::to_string(verdict.asked) +
-                                        " wait_ms=" + std::to_string(verdict.wait.count()));
+                                        " asked=" + std::to_string(admission.asked) +
+                                        " wait_ms=" + std::to_string(admission.wait.count()));
     co_return refused_for_now(used_up ? "the account's limit is used up" : "the account's limit is not known",
-                              verdict.wait);
+                              admission.wait);
 }
 
 /// The key by which sessions are spread over the connection owners. It is the
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -64,7 +64,7 @@
         std::ranges::rotate(order, order.begin() + static_cast<std::ptrdiff_t>(rotation % order.size()));
         for (const auto& name : order) {
             if (!unreachable.contains(name) &&
-                members.at(name).ask("yard", authorizer, now).outcome == grant_outcome::granted) {
+                members.at(name).grant("yard", authorizer, now).outcome == grant_outcome::granted) {
                 return true;
             }
         }
@@ -87,8 +87,8 @@
     std::map<std::uint16_t, std::deque<grant_response>> responses;
     std::vector<std::uint16_t> asked;
 
-    asio::awaitable<std::optional<grant_response>> ask(asio::ip::udp::endpoint to, std::string,
-                                                       boot_clock::time_point until) {
+    asio::awaitable<std::optional<grant_response>> request_grant(asio::ip::udp::endpoint to, std::string,
+                                                                 boot_clock::time_point until) {
         asked.push_back(to.port());
         auto& left = responses[to.port()];
         if (left.empty()) {
@@ -229,10 +229,10 @@
     BOOST_TEST_REQUIRE(!successor.empty());
     limit_coordinator coordinator{successor, bound, true};
     coordinator.set_proxies(all, start);
-    BOOST_TEST((coordinator.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
+    BOOST_TEST((coordinator.grant("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
     coordinator.set_proxies(rest, start + 10s);
-    BOOST_TEST((coordinator.ask("yard", authorizer, start + 11s).outcome == grant_outcome::used_up));
-    BOOST_TEST((coordinator.ask("yard", authorizer, start + 10s + limit_coordinator::takeover_delay + 1s).outcome ==
+    BOOST_TEST((coordinator.grant("yard", authorizer, start + 11s).outcome == grant_outcome::used_up));
+    BOOST_TEST((coordinator.grant("yard", authorizer, start + 10s + limit_coordinator::takeover_delay + 1s).outcome ==
                 grant_outcome::granted));
 }
 
@@ -242,12 +242,12 @@
     const auto authorizer = authorizer_with({100, 100});
     limit_coordinator uninformed{"proxy-0", bound, true};
     uninformed.set_proxies(names(3), start, false);
-    BOOST_TEST((uninformed.ask("yard", authorizer, start + 1s).outcome == grant_outcome::not_coordinator));
+    BOOST_TEST((uninformed.grant("yard", authorizer, start + 1s).outcome == grant_outcome::not_coordinator));
     const auto all = names(84);
     limit_coordinator informed{all[choose_coordinators("yard", 8, all).front()], bound, true};
     informed.set_proxies(names(3), start, false);
     informed.set_proxies(all, start + 2s);
-    BOOST_TEST((informed.ask("yard", authorizer, start + 2s).outcome == grant_outcome::granted));
+    BOOST_TEST((informed.grant("yard", authorizer, start + 2s).outcome == grant_outcome::granted));
 }
 
 // An operator lowers a limit far below the rate of requests: tokens saved up under the previous limit must not be
@@ -257,10 +257,10 @@
     coordinator.set_proxies({"a"}, start);
     const auto high = authorizer_with({1000, 1000});
     const auto low = authorizer_with({1, 1});
-    BOOST_TEST((coordinator.ask("yard", high, start).outcome == grant_outcome::granted));
+    BOOST_TEST((coordinator.grant("yard", high, start).outcome == grant_outcome::granted));
     std::vector<boot_clock::time_point> granted;
     for (auto now = start + 1ms; now < start + 5s; now += 2ms) {
-        if (coordinator.ask("yard", low, now).outcome == grant_outcome::granted) {
+        if (coordinator.grant("yard", low, now).outcome == grant_outcome::granted) {
             granted.push_back(now);
         }
     }
@@ -275,10 +275,10 @@
     authorizer.set_accounts(all);
     limit_coordinator coordinator{"a", bound, true};
     coordinator.set_proxies({"a"}, start);
-    BOOST_TEST((coordinator.ask("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
+    BOOST_TEST((coordinator.grant("yard", authorizer, start).outcome == grant_outcome::not_coordinator));
     authorizer.confirm_current(start);
-    BOOST_TEST((coordinator.ask("yard", authorizer, start).outcome == grant_outcome::granted));
-    BOOST_TEST((coordinator.ask("nobody", authorizer, start).outcome == grant_outcome::not_coordinator));
+    BOOST_TEST((coordinator.grant("yard", authorizer, start).outcome == grant_outcome::granted));
+    BOOST_TEST((coordinator.grant("nobody", authorizer, start).outcome == grant_outcome::not_coordinator));
 }
 
 // At least 90 % of the operations that are retried after the reported wait must be granted.
@@ -295,7 +295,7 @@
         }
         auto wait = 5000ms;
         for (auto& [name, member] : all.members) {
-            const auto response = member.ask("yard", all.authorizer, now);
+            const auto response = member.grant("yard", all.authorizer, now);
             wait = std::min(wait, response.wait);
         }
         ++retried;
@@ -367,10 +367,10 @@
         asio::detached);
     io.run();
     BOOST_TEST_REQUIRE(got.size() == 3U);
-    BOOST_TEST((got[0].what == admission_result::kind::granted));
-    BOOST_TEST((got[1].what == admission_result::kind::used_up));
+    BOOST_TEST((got[0].outcome == admission_result::kind::granted));
+    BOOST_TEST((got[1].outcome == admission_result::kind::used_up));
     BOOST_TEST((got[1].wait == 30ms));
-    BOOST_TEST((got[2].what == admission_result::kind::used_up));
+    BOOST_TEST((got[2].outcome == admission_result::kind::used_up));
     io.destroy_suspended_coroutines();
 }
 
