--- a/src/cornellever/session/caller.hpp
+++ b/src/cornellever/session/caller.hpp
@@ -44,13 +44,13 @@
 using caller_event =
     std::variant<session_opening, sql::request, malformed_input, caller_disconnected, caller_timed_out>;
 
-/// The connection of one caller: `next` waits for input, `welcome` accepts and
+/// The connection of one caller: `next` waits for input, `accept` opens and
 /// `refuse` rejects the session, `send` writes a reply.
 template <typename T>
 concept caller_channel = requires(T caller, boot_clock::time_point until, const sql::reply& answer,
                                   const sql::statement_error& error) {
     { caller.next(until) } -> std::same_as<asio::awaitable<caller_event>>;
-    {caller.welcome()};
+    {caller.accept()};
     {caller.send(answer)};
     {caller.refuse(error)};
     {caller.close()};
--- a/src/cornellever/session/connection_session_state.cpp
+++ b/src/cornellever/session/connection_session_state.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-std::string prepared_name(const prepared_statement& what) {
-    return (what.access_mode == sql::access::read ? "r_" : "w_") + what.shape;
+std::string prepared_name(const prepared_statement& prepared) {
+    return (prepared.access_mode == sql::access::read ? "r_" : "w_") + prepared.shape;
 }
 
 std::vector<sql::statement> plan_replay(const session_state& session, connection_session_state& connection,
--- a/src/cornellever/session/connection_session_state.hpp
+++ b/src/cornellever/session/connection_session_state.hpp
@@ -23,7 +23,7 @@
 
 /// The name of a prepared statement on backend connections. It is derived from
 /// the statement's shape, since names given by different callers may collide.
-[[nodiscard]] std::string prepared_name(const prepared_statement& what);
+[[nodiscard]] std::string prepared_name(const prepared_statement& prepared);
 
 /// Returns the statements that bring a connection to exactly the session's
 /// values and, unless `needed_statement` is null, to that prepared statement.
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -50,7 +50,7 @@
         , m_connector{connector}
         , m_name{std::move(name)}
         , m_data_center{std::move(data_center)}
-        , m_gate{lease}
+        , m_authorizer{lease}
         , m_engine{m_counters}
         , m_configuration_due{m_executor, max_configuration_wait} {}
 
@@ -62,7 +62,7 @@
 
     /// The configuration in force, or an older one, was confirmed current at
     /// `at`. Extends the configuration lease.
-    void confirm_configuration(boot_clock::time_point at) { m_gate.confirm_current(at); }
+    void confirm_configuration(boot_clock::time_point at) { m_authorizer.confirm_current(at); }
 
     /// Sets the proxies that share each server's connections, including this
     /// one; empty while they are not known yet. `complete` is whether the list
@@ -79,7 +79,7 @@
     }
 
     /// Records the log position of a primary that another proxy reported.
-    void note_reported_position(const std::string& service, reported_position what);
+    void note_reported_position(const std::string& service, reported_position position);
 
     /// Periodic maintenance of the pools, and of sessions whose path to the
     /// primary is cut.
@@ -114,7 +114,7 @@
 
     [[nodiscard]] std::size_t sessions() const noexcept { return m_sessions.size(); }
     [[nodiscard]] const routing::configuration& config() const noexcept { return m_config; }
-    [[nodiscard]] const accounts::authorizer& authorizer() const noexcept { return m_gate; }
+    [[nodiscard]] const accounts::authorizer& authorizer() const noexcept { return m_authorizer; }
     [[nodiscard]] const routing::registry& servers() const noexcept { return m_registry; }
     [[nodiscard]] const traffic_counters& counters() const noexcept { return m_counters; }
     [[nodiscard]] std::map<std::string, std::unique_ptr<pool>, std::less<>>& pools() noexcept { return m_pools; }
@@ -164,8 +164,8 @@
     asio::awaitable<sql::reply> run(active_session& active, const sql::request& request);
     sql::reply begin(active_session& active, bool read_only);
     sql::reply roll_back(active_session& active);
-    sql::reply prepare(active_session& active, const sql::statement& what);
-    sql::reply deallocate(active_session& active, const sql::statement& what);
+    sql::reply prepare(active_session& active, const sql::statement& statement);
+    sql::reply deallocate(active_session& active, const sql::statement& statement);
     [[nodiscard]] static sql::transaction_state state_of(const active_session& active);
     [[nodiscard]] boot_clock::time_point request_deadline(const active_session& active) const;
 
@@ -208,7 +208,7 @@
     /// By service; computed on first use.
     std::map<std::string, connection_ownership, std::less<>> m_ownership;
     traffic_counters m_counters;
-    accounts::authorizer m_gate;
+    accounts::authorizer m_authorizer;
     operation_limits m_limits;
     engine m_engine;
     /// Expires after `max_configuration_wait`; cancelled when a configuration
--- a/src/cornellever/session/traffic.ipp
+++ b/src/cornellever/session/traffic.ipp
@@ -11,7 +11,7 @@
                                         " before=" + std::to_string(m_config.version) +
                                         " databases=" + std::to_string(config.routes.size()));
     m_config = std::move(config);
-    m_gate.set_accounts(m_config.accounts);
+    m_authorizer.set_accounts(m_config.accounts);
     m_configuration_due.cancel();
     for (auto& [name, backends] : m_pools) {
         backends->start_epoch(boot_clock::now());
@@ -62,11 +62,11 @@
 }
 
 template <routing::link_connector Connector>
-void traffic<Connector>::note_reported_position(const std::string& service, reported_position what) {
+void traffic<Connector>::note_reported_position(const std::string& service, reported_position position) {
     if (const auto found = m_pools.find(service); found != m_pools.end()) {
-        found->second->note_reported_position(what.server, what.furthest);
+        found->second->note_reported_position(position.server, position.furthest);
     } else if (m_config.services.contains(service)) {
-        m_reported_positions.insert_or_assign(service, std::move(what));
+        m_reported_positions.insert_or_assign(service, std::move(position));
     }
 }
 
@@ -144,7 +144,7 @@
     active.relayed = opening->relayed;
     m_sessions.insert(&active);
     ++m_counters.sessions_opened;
-    caller.welcome();
+    caller.accept();
     bool answered = false;
     for (;;) {
         active.status.is_idle = active.outside_transaction();
@@ -237,15 +237,15 @@
 }
 
 template <routing::link_connector Connector>
-sql::reply traffic<Connector>::prepare(active_session& active, const sql::statement& what) {
-    active.state.prepared.insert_or_assign(what.name, prepared_statement{what.access_mode, what.text});
+sql::reply traffic<Connector>::prepare(active_session& active, const sql::statement& statement) {
+    active.state.prepared.insert_or_assign(statement.name, prepared_statement{statement.access_mode, statement.text});
     return acknowledged(state_of(active));
 }
 
 template <routing::link_connector Connector>
-sql::reply traffic<Connector>::deallocate(active_session& active, const sql::statement& what) {
-    if (active.state.prepared.erase(what.name) == 0) {
-        return refused(sql::refusal::no_such_prepared_statement, what.name, state_of(active));
+sql::reply traffic<Connector>::deallocate(active_session& active, const sql::statement& statement) {
+    if (active.state.prepared.erase(statement.name) == 0) {
+        return refused(sql::refusal::no_such_prepared_statement, statement.name, state_of(active));
     }
     return acknowledged(state_of(active));
 }
@@ -316,10 +316,11 @@
         }
         // A copy: a newer configuration may replace it while the statement runs.
         const auto route = found->second;
-        const statement_run execution{route, m_gate, active.state, request, prepared, arrival};
+        const statement_run execution{route, m_authorizer, active.state, request, prepared, arrival};
         co_return co_await m_engine.run_autocommit(pool_for(route.service), execution);
     }
-    const statement_run execution{active.open_transaction->route, m_gate, active.state, request, prepared, arrival};
+    const statement_run execution{
+        active.open_transaction->route, m_authorizer, active.state, request, prepared, arrival};
     if (active.open_transaction->read_only && execution.writes()) {
         m_engine.roll_back_transaction(*active.open_transaction);
         active.open_transaction->failed = true;
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -25,7 +25,7 @@
         reason = sql::to_string(why);
         return sql::statement_error{why, opening.database};
     }
-    const auto permission = m_gate.authorize(route->second.keyless, opening.key, boot_clock::now());
+    const auto permission = m_authorizer.authorize(route->second.keyless, opening.key, boot_clock::now());
     if (permission.verdict == accounts::permission::unknown_key) {
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::unknown_key, "the key is not known"};
@@ -67,7 +67,7 @@
     if (route == m_config.routes.end()) {
         return std::nullopt;
     }
-    const auto permission = m_gate.authorize(route->second.keyless, active.state.key, boot_clock::now());
+    const auto permission = m_authorizer.authorize(route->second.keyless, active.state.key, boot_clock::now());
     if (permission.verdict != accounts::permission::unknown_key) {
         return std::nullopt;
     }
@@ -115,7 +115,7 @@
     if (!m_limits.admit || route == m_config.routes.end()) {
         co_return std::nullopt;
     }
-    const auto permission = m_gate.authorize(route->second.keyless, active.state.key, boot_clock::now());
+    const auto permission = m_authorizer.authorize(route->second.keyless, active.state.key, boot_clock::now());
     if (permission.matched_account == nullptr || !permission.matched_account->limit) {
         co_return std::nullopt;
     }
@@ -140,8 +140,8 @@
 /// account.
 template <routing::link_connector Connector>
 std::uint64_t traffic<Connector>::spreading_key(const active_session& active) const {
-    const auto* who = m_gate.accounts().find_by_key(active.state.key);
-    return who == nullptr ? active.state.id : stable_hash({who->name});
+    const auto* account = m_authorizer.accounts().find_by_key(active.state.key);
+    return account == nullptr ? active.state.id : stable_hash({account->name});
 }
 
 } // namespace cornellever::session
--- a/src/cornellever/session/traffic_relay.ipp
+++ b/src/cornellever/session/traffic_relay.ipp
@@ -12,24 +12,24 @@
     if (active.relayed || !active.outside_transaction()) {
         return;
     }
-    auto place = execution_site::local;
+    auto site = execution_site::local;
     if (!owns(active.state.database)) {
-        place = execution_site::connection_owner;
+        site = execution_site::connection_owner;
     } else if (!detour_peers(active.state.database, 0).empty()) {
-        place = execution_site::detour;
+        site = execution_site::detour;
     }
     if (peer_suspected(active.at_peer)) {
         active.at_peer.close();
     }
-    if (place == active.site) {
+    if (site == active.site) {
         return;
     }
-    if (place == execution_site::detour) {
+    if (site == execution_site::detour) {
         log_event(event::session_relayed, "session=" + std::to_string(active.state.id) +
                                               " database=" + active.state.database + " reason=path_cut");
     }
     active.at_peer.close();
-    active.site = place;
+    active.site = site;
 }
 
 /// Whether the peer of a session has failed another session since this one was
--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -274,7 +274,7 @@
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.refusals.size() == 1U);
     BOOST_TEST((caller.refusals.front().why == refusal::unknown_key));
-    BOOST_TEST(!caller.welcomed);
+    BOOST_TEST(!caller.accepted);
 }
 
 // A server attributes every statement to the account that its connection was opened for. A statement sent on another
--- a/tests/unit/fake_caller.hpp
+++ b/tests/unit/fake_caller.hpp
@@ -20,7 +20,7 @@
     std::vector<sql::statement_error> refusals{};
     /// Number of events delivered.
     std::size_t taken{0};
-    bool welcomed{false};
+    bool accepted{false};
     bool closed{false};
 };
 
@@ -47,7 +47,7 @@
         }
         co_return out;
     }
-    void welcome() { m_script->welcomed = true; }
+    void accept() { m_script->accepted = true; }
     void send(const sql::reply& answer) { m_script->answers.push_back(answer); }
     void refuse(const sql::statement_error& error) { m_script->refusals.push_back(error); }
     bool close_if_no_input() {
--- a/tests/unit/path_cut.cpp
+++ b/tests/unit/path_cut.cpp
@@ -70,7 +70,7 @@
     caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST(proxy.asked_at_peer().empty());
-    BOOST_TEST(caller.welcomed);
+    BOOST_TEST(caller.accepted);
 }
 
 // Guards against relay loops: the peer refuses the session, and the relaying proxy
@@ -80,7 +80,7 @@
     proxy.wait_for(900ms, true);
     caller_script caller{.events = {session::session_opening{"strict", true}, ask("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
-    BOOST_TEST(!caller.welcomed);
+    BOOST_TEST(!caller.accepted);
     BOOST_TEST(caller.refusals.size() == 1U);
     BOOST_TEST(proxy.asked_at_peer().empty());
 }
--- a/tests/unit/sessions.cpp
+++ b/tests/unit/sessions.cpp
@@ -53,7 +53,7 @@
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.refusals.size() == 1U);
     BOOST_TEST((caller.refusals.front().why == refusal::no_such_database));
-    BOOST_TEST(!caller.welcomed);
+    BOOST_TEST(!caller.accepted);
 }
 
 // Guards against stale reads at a partitioned primary after another one was
