--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -148,7 +148,7 @@
     }
 
     asio::awaitable<void> query_one(pool& backends, std::string id, bool draining, std::shared_ptr<query_state> into) {
-        auto answer = co_await backends.ask(id, sql::proxy_command(sql::statement_kind::status), query_timeout);
+        auto answer = co_await backends.query(id, sql::proxy_command(sql::statement_kind::status), query_timeout);
         replica_report report{.id = id, .received = {}, .draining = draining, .answered = answer.has_value()};
         if (answer) {
             if (const auto status = Connector::status_of(*answer)) {
--- a/src/cornellever/routing/service_pool.hpp
+++ b/src/cornellever/routing/service_pool.hpp
@@ -197,7 +197,7 @@
     asio::awaitable<bool> is_primary_now(std::string id, std::chrono::milliseconds limit);
 
     /// Sends a control command to one server, for example for its status.
-    asio::awaitable<link_reply> ask(std::string id, sql::command what, std::chrono::milliseconds limit);
+    asio::awaitable<link_reply> query(std::string id, sql::command command, std::chrono::milliseconds limit);
 
 private:
     friend connection_lease<service_pool>;
--- a/src/cornellever/routing/service_pool_primary.ipp
+++ b/src/cornellever/routing/service_pool_primary.ipp
@@ -93,8 +93,8 @@
 }
 
 template <link_connector Connector>
-asio::awaitable<link_reply> service_pool<Connector>::ask(std::string id, sql::command what,
-                                                         std::chrono::milliseconds limit) {
+asio::awaitable<link_reply> service_pool<Connector>::query(std::string id, sql::command command,
+                                                           std::chrono::milliseconds limit) {
     const auto until = boot_clock::now() + limit;
     const auto found = m_entries.find(id);
     if (found == m_entries.end()) {
@@ -120,7 +120,7 @@
     if (std::exchange(held->primed, false)) {
         batch.push_back(sql::proxy_command(sql::statement_kind::rollback));
     }
-    batch.push_back(std::move(what));
+    batch.push_back(std::move(command));
     const auto reply_index = batch.size() - 1;
     held->sent_at = boot_clock::now();
     auto answer = co_await held->connection->exchange(std::move(batch), reply_index, until);
--- a/src/cornellever/routing/service_pool_queue.ipp
+++ b/src/cornellever/routing/service_pool_queue.ipp
@@ -43,12 +43,12 @@
 void service_pool<Connector>::serve_queue(entry& at) {
     const auto now = boot_clock::now();
     auto& items = m_wait_queue.items();
-    for (auto place = items.begin(); place != items.end();) {
+    for (auto it = items.begin(); it != items.end();) {
         if (at.retired || at.active_count() >= max_concurrency(at)) {
             return;
         }
-        waiter& next = **place;
-        ++place;
+        waiter& next = **it;
+        ++it;
         if (eligible(next.request, at, now) && try_serve(at, next)) {
             m_wait_queue.dequeue(next);
         }
@@ -86,12 +86,12 @@
 template <link_connector Connector>
 server_set service_pool<Connector>::servers_for(const connection_request& request, time_point now) const {
     server_set out = 0;
-    std::size_t place = 0;
+    std::size_t index = 0;
     for (const auto& [id, at] : m_entries) {
-        if (place < std::numeric_limits<server_set>::digits && eligible(request, *at, now)) {
-            out |= server_set{1} << place;
+        if (index < std::numeric_limits<server_set>::digits && eligible(request, *at, now)) {
+            out |= server_set{1} << index;
         }
-        ++place;
+        ++index;
     }
     return out;
 }
@@ -131,8 +131,8 @@
         return out;
     }
     const auto queue = queue_snapshot(now);
-    const auto place = m_wait_queue.queue_position(request.priority, now + max_wait(out, limits));
-    out.requests_ahead = count_competing(std::span{queue}.first(place), eligible_servers);
+    const auto queue_index = m_wait_queue.queue_position(request.priority, now + max_wait(out, limits));
+    out.requests_ahead = count_competing(std::span{queue}.first(queue_index), eligible_servers);
     return out;
 }
 
@@ -150,8 +150,8 @@
     const auto now = boot_clock::now();
     const auto queue = queue_snapshot(now);
     std::vector<waiter*> late;
-    for (const auto place : too_late(server_capacities(now), queue, first, now)) {
-        late.push_back(*std::next(items.begin(), static_cast<std::ptrdiff_t>(place)));
+    for (const auto index : too_late(server_capacities(now), queue, first, now)) {
+        late.push_back(*std::next(items.begin(), static_cast<std::ptrdiff_t>(index)));
     }
     for (auto* item : late) {
         m_wait_queue.dequeue(*item);
