--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -111,7 +111,7 @@
 
     /// Sends a farewell to all peers once this proxy's connections are closed, so that they can use
     /// its share of the connections.
-    void farewell();
+    void send_farewell();
 
 private:
     /// The last known state of a service's primary.
--- a/src/cornellever/cluster/control_joining.ipp
+++ b/src/cornellever/cluster/control_joining.ipp
@@ -130,7 +130,7 @@
 }
 
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
-void control<Store, Orders, Connector>::farewell() {
+void control<Store, Orders, Connector>::send_farewell() {
     send(build_message(peer_message::kind::farewell), all_peers());
 }
 
@@ -139,15 +139,15 @@
     if (!m_peers_loaded && boot_clock::now() - m_started < peer_list_timeout) {
         return;
     }
-    std::vector<session::proxy_node> places{{m_settings.name, m_settings.data_center, m_settings.sessions}};
+    std::vector<session::proxy_node> proxies{{m_settings.name, m_settings.data_center, m_settings.sessions}};
     for (const auto& [name, item] : m_members.peers()) {
-        places.push_back({name, item.data_center, {item.address.address(), m_settings.sessions.port()}});
+        proxies.push_back({name, item.data_center, {item.address.address(), m_settings.sessions.port()}});
     }
-    if (places != m_published_proxies || m_peers_loaded != m_published_complete) {
-        m_published_proxies = places;
+    if (proxies != m_published_proxies || m_peers_loaded != m_published_complete) {
+        m_published_proxies = proxies;
         m_published_complete = m_peers_loaded;
-        m_counts.proxies = places.size();
-        m_bridge.set_proxies(std::move(places), m_peers_loaded);
+        m_counts.proxies = proxies.size();
+        m_bridge.set_proxies(std::move(proxies), m_peers_loaded);
     }
 }
 
--- a/src/cornellever/cluster/peer_message.cpp
+++ b/src/cornellever/cluster/peer_message.cpp
@@ -82,9 +82,9 @@
     }
 
     std::chrono::milliseconds age() {
-        constexpr std::uint64_t longest_ms = std::uint64_t{1} << 40;
+        constexpr std::uint64_t age_limit_ms = std::uint64_t{1} << 40;
         const auto ms = number();
-        m_good = m_good && ms < longest_ms;
+        m_good = m_good && ms < age_limit_ms;
         return std::chrono::milliseconds{static_cast<long long>(m_good ? ms : 0)};
     }
 
--- a/src/cornellever/cluster/snapshot.cpp
+++ b/src/cornellever/cluster/snapshot.cpp
@@ -108,7 +108,7 @@
 }
 
 /// No valid part of a snapshot is longer than this.
-constexpr std::size_t longest_part = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t max_part_bytes = std::size_t{64} * 1024 * 1024;
 
 Json::Value details_of(const routing::configuration& config) {
     Json::Value out;
@@ -202,7 +202,7 @@
 /// Unpacks and reads the part called `name`.
 template <typename Content>
 result<void> read_part(const packed_part& part, std::string_view name, Content& out) {
-    const auto text = unpack(part.text, longest_part);
+    const auto text = unpack(part.text, max_part_bytes);
     if (!text) {
         return std::unexpected{text.error()};
     }
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -58,9 +58,9 @@
         asio::post(m_executor, [this, at] { m_host.confirm_configuration(at); });
     }
 
-    void set_proxies(std::vector<session::proxy_node> places, bool complete) {
-        asio::post(m_executor, [this, places = std::move(places), complete]() mutable {
-            m_host.set_proxies(std::move(places), complete);
+    void set_proxies(std::vector<session::proxy_node> proxies, bool complete) {
+        asio::post(m_executor, [this, proxies = std::move(proxies), complete]() mutable {
+            m_host.set_proxies(std::move(proxies), complete);
         });
     }
 
--- a/tests/platform/wire.cpp
+++ b/tests/platform/wire.cpp
@@ -265,7 +265,7 @@
     }
 
     /// A list of `count` proxies: first the entry, then entries with different names that all have the owner's address.
-    [[nodiscard]] std::vector<session::proxy_node> places(int count) const {
+    [[nodiscard]] std::vector<session::proxy_node> proxies(int count) const {
         std::vector<session::proxy_node> out{{"a", "here", entry.here}};
         for (int i = 1; i < count; ++i) {
             out.push_back({"p" + std::to_string(i), "here", owner.here});
@@ -296,7 +296,7 @@
 /// The transcript of a session served by the entry itself or, if `relayed`, relayed to the owner.
 std::string played_transcript(const std::vector<std::string>& lines, bool relayed, std::uint16_t port) {
     two_proxies path{5, port};
-    path.entry.host.set_proxies(path.places(relayed ? 20 : 1));
+    path.entry.host.set_proxies(path.proxies(relayed ? 20 : 1));
     auto transcript = path.play(lines);
     BOOST_TEST((path.owner.host.counters().sessions_opened > 0U) == relayed);
     return transcript;
@@ -328,13 +328,13 @@
 BOOST_AUTO_TEST_CASE(a_write_is_sent_to_another_owner_when_the_first_is_unresponsive) {
     two_proxies path{8, 27341};
     tcp::acceptor silent{path.io, tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0}};
-    auto places = path.places(20);
-    const auto order = session::relay_order(session::allocate_connections("stock", 8, places), "here", 1);
+    auto proxies = path.proxies(20);
+    const auto order = session::relay_order(session::allocate_connections("stock", 8, proxies), "here", 1);
     BOOST_TEST_REQUIRE(order.size() >= 2U);
-    for (auto& item : places) {
+    for (auto& item : proxies) {
         item.sessions = item.name == order.front().name ? silent.local_endpoint() : item.sessions;
     }
-    path.entry.host.set_proxies(places);
+    path.entry.host.set_proxies(proxies);
     const auto begun = boot_clock::now();
     const auto transcript = path.play({"STARTUP strict u1", "QUERY 1 SET lang fj", "QUERY 2 WRITE oven sold"});
     BOOST_TEST(transcript.find("COMPLETE sig.") != std::string::npos, transcript);
