--- a/src/cornellever/proxy/backend_connections.cpp
+++ b/src/cornellever/proxy/backend_connections.cpp
@@ -53,7 +53,7 @@
     }
 }
 
-void backend_connections::set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
+void backend_connections::set_vms(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
     m_leaving = leaving;
     m_topology.set_leaving(leaving, clock::now());
     m_proxies = std::max<std::size_t>(proxies, 1);
--- a/src/cornellever/proxy/backend_connections.hpp
+++ b/src/cornellever/proxy/backend_connections.hpp
@@ -46,9 +46,9 @@
     /// not answer.
     void record(const heartbeat& report);
 
-    /// Applies the platform's list of machines: those that are leaving, and the number of proxies that share each
+    /// Applies the platform's VM list: the VMs that are leaving, and the number of proxies that share each
     /// instance's connections.
-    void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies);
+    void set_vms(const std::set<std::string, std::less<>>& leaving, std::size_t proxies);
 
     /// The instances with their last reported state.
     [[nodiscard]] topology& known_instances() noexcept { return m_topology; }
--- a/src/cornellever/proxy/config_follower.cpp
+++ b/src/cornellever/proxy/config_follower.cpp
@@ -57,7 +57,7 @@
 }
 
 asio::awaitable<void> config_follower::fetch_from_peer() {
-    // A machine that is replaced during a platform outage starts without a configuration. The configuration of another
+    // A VM that is replaced during a platform outage starts without a configuration. The configuration of another
     // proxy has been accepted before, and it is applied only if its version is newer, so fetching it cannot revert
     // anything.
     if (m_peers.empty()) {
--- a/src/cornellever/proxy/control.cpp
+++ b/src/cornellever/proxy/control.cpp
@@ -51,7 +51,7 @@
 
 void control::start() {
     asio::co_spawn(m_control_executor, m_follower.run(), asio::detached);
-    asio::co_spawn(m_control_executor, poll_machines(), asio::detached);
+    asio::co_spawn(m_control_executor, poll_vm_list(), asio::detached);
     asio::co_spawn(m_control_executor, m_primary_monitor.run(m_config), asio::detached);
 }
 
@@ -72,18 +72,18 @@
     asio::post(m_traffic_executor, [&target = m_router, next = m_config]() mutable { target.update(std::move(next)); });
 }
 
-asio::awaitable<void> control::poll_machines() {
+asio::awaitable<void> control::poll_vm_list() {
     rpc::reconnecting_channel channel{m_control_executor, m_platform};
     for (;;) {
         auto list = co_await channel.call("vms.list", Json::Value{Json::objectValue}, m_limits.call_deadline);
         if (list) {
-            apply_machines(*list);
+            apply_vm_list(*list);
         }
-        co_await sleep_for(m_limits.machines_poll);
+        co_await sleep_for(m_limits.vm_list_poll);
     }
 }
 
-void control::apply_machines(const Json::Value& list) {
+void control::apply_vm_list(const Json::Value& list) {
     std::set<std::string, std::less<>> leaving;
     std::size_t proxies = 0;
     for (auto item = list.begin(); item != list.end(); ++item) {
@@ -95,7 +95,7 @@
     }
     m_topology.set_leaving(leaving, std::chrono::steady_clock::now());
     asio::post(m_traffic_executor,
-               [&target = m_router, leaving = std::move(leaving), proxies] { target.set_machines(leaving, proxies); });
+               [&target = m_router, leaving = std::move(leaving), proxies] { target.set_vms(leaving, proxies); });
 }
 
 void control::record_heartbeat(const heartbeat& report) {
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -17,9 +17,9 @@
 
 namespace cornellever::proxy {
 
-/// Intervals and deadlines of heartbeats and of the machine list.
+/// Intervals and deadlines of heartbeats and of the VM list.
 struct control_limits {
-    std::chrono::milliseconds machines_poll{1000};
+    std::chrono::milliseconds vm_list_poll{1000};
     std::chrono::milliseconds call_deadline{400};
     std::chrono::milliseconds heartbeat_interval{200};
     std::chrono::milliseconds heartbeat_deadline{300};
@@ -29,7 +29,7 @@
 };
 
 /// The control side of a proxy, on a thread of its own: sends heartbeats to every instance of the configuration in
-/// force, polls the list of machines, and passes the results to the router on the traffic thread.
+/// force, polls the VM list, and passes the results to the router on the traffic thread.
 class control {
 public:
     control(asio::any_io_executor control_executor, asio::any_io_executor traffic, router& traffic_router,
@@ -39,11 +39,11 @@
     void start();
 
 private:
-    asio::awaitable<void> poll_machines();
+    asio::awaitable<void> poll_vm_list();
     asio::awaitable<void> probe(std::string key, tcp::endpoint address, std::uint64_t generation);
     [[nodiscard]] std::chrono::milliseconds heartbeat_pause(std::string_view key) const;
     void apply_config(config::cluster config);
-    void apply_machines(const Json::Value& list);
+    void apply_vm_list(const Json::Value& list);
     void record_heartbeat(const heartbeat& report);
 
     asio::any_io_executor m_control_executor;
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -23,7 +23,7 @@
 struct group_member {
     std::string key;
     tcp::endpoint address;
-    /// Not to be promoted while the other members are a majority by themselves: its machine is leaving, or it is the
+    /// Not to be promoted while the other members are a majority by themselves: its VM is leaving, or it is the
     /// primary being replaced. A primary cut off from its replicas has the longest log because of writes that no other
     /// member holds; chosen for that, it would be primary again and still be cut off.
     bool not_preferred{false};
--- a/src/cornellever/proxy/pool.hpp
+++ b/src/cornellever/proxy/pool.hpp
@@ -45,7 +45,7 @@
     void terminate(std::uint64_t session);
 
     /// Closes all idle connections. Called after a call timed out: whatever dropped that connection (a middlebox, a
-    /// failing machine) has probably dropped the idle ones too, and each would cost another request a full timeout.
+    /// failing VM) has probably dropped the idle ones too, and each would cost another request a full timeout.
     void close_idle();
 
     /// Closes all connections in use. Called when an unresponsive instance was replaced, so that pending calls fail
--- a/src/cornellever/proxy/primary_health.hpp
+++ b/src/cornellever/proxy/primary_health.hpp
@@ -13,7 +13,7 @@
     serving,
     /// No primary answers, or the one that does is cut off from its replicas.
     lost,
-    /// The primary's machine is leaving, and a majority of the members can continue without it.
+    /// The primary's VM is leaving, and a majority of the members can continue without it.
     leaving,
     /// No primary answers this proxy, but a replica is in contact with one: it is lost only if the other proxies
     /// cannot reach it either.
--- a/src/cornellever/proxy/router.hpp
+++ b/src/cornellever/proxy/router.hpp
@@ -34,9 +34,9 @@
     /// Applies a heartbeat result from the control thread.
     void record(const heartbeat& report) { m_backends.record(report); }
 
-    /// Applies the platform's list of machines from the control thread.
-    void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
-        m_backends.set_machines(leaving, proxies);
+    /// Applies the platform's VM list from the control thread.
+    void set_vms(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
+        m_backends.set_vms(leaving, proxies);
     }
 
     /// From now on refuses new transactions as not run.
--- a/src/cornellever/proxy/topology.hpp
+++ b/src/cornellever/proxy/topology.hpp
@@ -27,7 +27,7 @@
 struct heartbeat {
     std::string key;
     bool answered{false};
-    /// The machine refused the connection: the instance's process is not running.
+    /// The VM refused the connection: the instance's process is not running.
     bool refused{false};
     bool primary{false};
     std::uint64_t term{0};
@@ -54,7 +54,7 @@
     std::int64_t staleness_ms{0};
     std::int64_t primary_contact_age_ms{0};
     std::chrono::steady_clock::time_point last_heartbeat_at{};
-    /// Set while the platform lists the machine as leaving.
+    /// Set while the platform lists the VM as leaving.
     std::optional<std::chrono::steady_clock::time_point> leaving_since;
 
     /// Whether new work may be sent here. A leaving replica gets none; a leaving primary gets some for
@@ -81,7 +81,7 @@
     /// Records a heartbeat; unknown keys are ignored.
     void record(const heartbeat& report, std::chrono::steady_clock::time_point now);
 
-    /// Marks the instances whose machine (`IP` or `IP:PORT`) is in `leaving`, and unmarks all others.
+    /// Marks the instances whose VM (`IP` or `IP:PORT`) is in `leaving`, and unmarks all others.
     void set_leaving(const std::set<std::string, std::less<>>& leaving, std::chrono::steady_clock::time_point now);
 
     /// The healthy primary of a database with the highest term, or null.
