--- a/tests/unit/accounts.cpp
+++ b/tests/unit/accounts.cpp
@@ -270,7 +270,7 @@
 // An invented key must not give access to a service's data.
 BOOST_AUTO_TEST_CASE(an_unknown_key_opens_no_session) {
     proxy_with_accounts proxy;
-    caller_script caller{.events = {opening_with("strict", "made up"), ask("r", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening_with("strict", "made up"), request("r", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.refusals.size() == 1U);
     BOOST_TEST((caller.refusals.front().why == refusal::unknown_key));
@@ -286,9 +286,9 @@
         const std::string key = i % 2 == 0 ? "key-yard" : "key-shop";
         const auto id = key + std::to_string(i);
         scripts.push_back(
-            {.events = {opening_with(i % 3 == 0 ? "fresh" : "strict", key), ask(id, statement_kind::read, "1"),
-                        ask("b" + id, statement_kind::begin), ask("w" + id, statement_kind::write, "1 x"),
-                        ask("c" + id, statement_kind::commit)}});
+            {.events = {opening_with(i % 3 == 0 ? "fresh" : "strict", key), request(id, statement_kind::read, "1"),
+                        request("b" + id, statement_kind::begin), request("w" + id, statement_kind::write, "1 x"),
+                        request("c" + id, statement_kind::commit)}});
     }
     std::vector<caller_script*> all;
     for (auto& item : scripts) {
@@ -316,10 +316,10 @@
         auto& events = scripts[static_cast<std::size_t>(i)].events;
         events.push_back(opening_with("strict", "key-yard"));
         for (int n = 0; n < 40; ++n) {
-            events.push_back(ask("y" + std::to_string(i) + "-" + std::to_string(n), statement_kind::read, "1"));
+            events.push_back(request("y" + std::to_string(i) + "-" + std::to_string(n), statement_kind::read, "1"));
         }
     }
-    scripts[6].events = {opening_with("strict", "key-shop"), ask("s", statement_kind::read, "1")};
+    scripts[6].events = {opening_with("strict", "key-shop"), request("s", statement_kind::read, "1")};
     std::vector<caller_script*> all;
     for (auto& item : scripts) {
         all.push_back(&item);
@@ -351,7 +351,7 @@
             config.accounts.add_key(key_digest::of(name), name);
             scripts[i].events.push_back(opening_with("strict", name));
             for (int n = 0; n < 12; ++n) {
-                scripts[i].events.push_back(ask(name + "-" + std::to_string(n), statement_kind::read, "1"));
+                scripts[i].events.push_back(request(name + "-" + std::to_string(n), statement_kind::read, "1"));
             }
         }
         proxy.host.update(config);
@@ -368,7 +368,7 @@
         const auto shared =
             session::allocate_connections("stock", config.services.at("stock").max_connections, make_proxies(3));
         BOOST_TEST_REQUIRE(shared.connections_each_under_load > shared.connections_each);
-        const auto most = static_cast<std::size_t>(primary.most_open);
+        const auto most = static_cast<std::size_t>(primary.max_open);
         BOOST_TEST(most <= (full ? shared.connections_each : shared.connections_each_under_load));
         BOOST_TEST((full || most > shared.connections_each));
     }
@@ -377,10 +377,10 @@
 // Revocation also applies to sessions that are already open: they must not run further requests.
 BOOST_AUTO_TEST_CASE(a_revoked_key_ends_an_open_session) {
     proxy_with_accounts proxy;
-    caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::read, "1"),
-                                    ask("b", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening_with("strict", "key-yard"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::read, "1")}};
     caller.before[2] = [&] { proxy.host.update(without_key(3, "key-yard")); };
-    caller_script other{.events = {opening_with("strict", "key-yard-2"), ask("c", statement_kind::read, "1")}};
+    caller_script other{.events = {opening_with("strict", "key-yard-2"), request("c", statement_kind::read, "1")}};
     proxy.play({&caller, &other});
     BOOST_TEST(caller.answers[0].ok());
     BOOST_TEST((why(caller, 1) == refusal::unknown_key));
@@ -393,8 +393,8 @@
 // As above, inside a transaction: its writes must be rolled back.
 BOOST_AUTO_TEST_CASE(a_revoked_key_rolls_back_an_open_transaction) {
     proxy_with_accounts proxy;
-    caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::begin),
-                                    ask("b", statement_kind::write, "1 x"), ask("c", statement_kind::commit)}};
+    caller_script caller{.events = {opening_with("strict", "key-yard"), request("a", statement_kind::begin),
+                                    request("b", statement_kind::write, "1 x"), request("c", statement_kind::commit)}};
     caller.before[3] = [&] { proxy.host.update(without_key(3, "key-yard")); };
     proxy.play({&caller});
     BOOST_TEST(caller.answers.at(1).ok());
@@ -409,7 +409,7 @@
     for (const auto* id : {"p", "r1", "r2"}) {
         proxy.server(id).connect_fails = routing::connect_failure::too_many_connections;
     }
-    caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening_with("strict", "key-yard"), request("a", statement_kind::write, "1 x")}};
     proxy.later(25ms, [&] {
         proxy.host.update(without_key(3, "key-yard"));
         proxy.server("p").connect_fails.reset();
@@ -425,10 +425,11 @@
     proxy_with_accounts proxy;
     auto moved = without_key(3, "key-yard");
     moved.accounts.add_key(key_digest::of("key-yard"), "shop");
-    caller_script alone{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::read, "1"),
-                                   ask("b", statement_kind::read, "1")}};
-    caller_script inside{.events = {opening_with("strict", "key-yard"), ask("d", statement_kind::begin),
-                                    ask("e", statement_kind::write, "1 x"), ask("f", statement_kind::write, "1 y")}};
+    caller_script alone{.events = {opening_with("strict", "key-yard"), request("a", statement_kind::read, "1"),
+                                   request("b", statement_kind::read, "1")}};
+    caller_script inside{.events = {opening_with("strict", "key-yard"), request("d", statement_kind::begin),
+                                    request("e", statement_kind::write, "1 x"),
+                                    request("f", statement_kind::write, "1 y")}};
     inside.before[3] = [&] { proxy.host.update(moved); };
     alone.before[2] = [&] {
         moved.version = 4;
@@ -451,9 +452,10 @@
     host.update(three_servers());
     host.set_proxies(make_proxies(3));
     host.confirm_configuration(boot_clock::now());
-    caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::read, "1"),
-                                    ask("b", statement_kind::write, "1 x"), ask("c", statement_kind::write, "1 x")}};
-    caller_script keyless{.events = {opening_with("open", "nobody"), ask("d", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening_with("strict", "key-yard"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::write, "1 x"),
+                                    request("c", statement_kind::write, "1 x")}};
+    caller_script keyless{.events = {opening_with("open", "nobody"), request("d", statement_kind::read, "1")}};
     caller.before[2] = [&] { host.confirm_configuration(boot_clock::now() - 1s); };
     caller.before[3] = [&] { host.confirm_configuration(boot_clock::now()); };
     asio::co_spawn(
@@ -482,7 +484,7 @@
     caller_script relayed{
         .events = {session::session_opening{
                        .database = "strict", .relayed = true, .key = key_digest::of("key-yard"), .config_version = 2},
-                   ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1")}};
+                   request("a", statement_kind::read, "1"), request("b", statement_kind::read, "1")}};
     relayed.before[2] = [&] { proxy.host.update(without_key(3, "key-yard")); };
     caller_script later{
         .events = {session::session_opening{
@@ -503,7 +505,7 @@
     caller_script relayed{
         .events = {session::session_opening{
                        .database = "strict", .relayed = true, .key = key_digest::of("new"), .config_version = 3},
-                   ask("a", statement_kind::read, "1")}};
+                   request("a", statement_kind::read, "1")}};
     proxy.later(60ms, [&] { proxy.host.update(newer); });
     proxy.play({&relayed});
     BOOST_TEST(relayed.answers.at(0).ok());
@@ -517,7 +519,7 @@
 // Searches everything that a proxy exposes, its state and metrics, for known keys.
 BOOST_AUTO_TEST_CASE(no_key_appears_in_state_or_metrics) {
     proxy_with_accounts proxy;
-    caller_script caller{.events = {opening_with("strict", "key-yard"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening_with("strict", "key-yard"), request("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     metrics::exposition page;
     session::expose(proxy.host, page);
--- a/tests/unit/fake_caller.hpp
+++ b/tests/unit/fake_caller.hpp
@@ -67,8 +67,8 @@
     return session::session_opening{std::move(database)};
 }
 
-[[nodiscard]] inline session::caller_event ask(std::string id, sql::statement_kind kind, std::string text = {},
-                                               std::string name = {}) {
+[[nodiscard]] inline session::caller_event request(std::string id, sql::statement_kind kind, std::string text = {},
+                                                   std::string name = {}) {
     return sql::request{std::move(id), {.kind = kind, .name = std::move(name), .text = std::move(text)}};
 }
 
--- a/tests/unit/fake_link.hpp
+++ b/tests/unit/fake_link.hpp
@@ -53,7 +53,7 @@
     int connections{0};
     /// Open connections, and their maximum since a test last reset it.
     int open{0};
-    int most_open{0};
+    int max_open{0};
 
     [[nodiscard]] std::vector<received_statement> of(const std::string& id) const {
         std::vector<received_statement> out;
@@ -74,7 +74,7 @@
         : m_server{server}
         , m_number{++server.connections}
         , m_account{std::move(account)} {
-        m_server.most_open = std::max(m_server.most_open, ++m_server.open);
+        m_server.max_open = std::max(m_server.max_open, ++m_server.open);
     }
     fake_link(const fake_link&) = delete;
     fake_link& operator=(const fake_link&) = delete;
--- a/tests/unit/limits.cpp
+++ b/tests/unit/limits.cpp
@@ -391,10 +391,10 @@
     using sql::statement_kind;
     test::caller_script caller{
         .events = {session::session_opening{.database = "strict", .key = accounts::key_digest::of("key")},
-                   test::ask("s", statement_kind::set, "x", "lang"), test::ask("a", statement_kind::read, "1"),
-                   test::ask("b", statement_kind::begin), test::ask("c", statement_kind::write, "1 x"),
-                   test::ask("d", statement_kind::commit), test::ask("e", statement_kind::begin),
-                   test::ask("f", statement_kind::read, "1")}};
+                   test::request("s", statement_kind::set, "x", "lang"), test::request("a", statement_kind::read, "1"),
+                   test::request("b", statement_kind::begin), test::request("c", statement_kind::write, "1 x"),
+                   test::request("d", statement_kind::commit), test::request("e", statement_kind::begin),
+                   test::request("f", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 7U);
     for (const std::size_t served : {0U, 1U, 2U, 3U, 4U}) {
--- a/tests/unit/path_cut.cpp
+++ b/tests/unit/path_cut.cpp
@@ -16,7 +16,7 @@
 
     partitioned_proxy() {
         connector.owners[2000];
-        caller_script before{.events = {opening("strict"), ask("before", statement_kind::read, "1")}};
+        caller_script before{.events = {opening("strict"), request("before", statement_kind::read, "1")}};
         play({&before});
         server("p").silent = true;
         server("p").connect_fails = routing::connect_failure::silent;
@@ -54,7 +54,7 @@
 BOOST_AUTO_TEST_CASE(sessions_are_relayed_through_a_peer_that_reaches_the_primary) {
     partitioned_proxy proxy;
     proxy.wait_for(900ms, true);
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(caller.answers.front().signature == "owner-w");
@@ -67,7 +67,7 @@
 BOOST_AUTO_TEST_CASE(sessions_are_not_relayed_when_no_peer_reaches_the_primary) {
     partitioned_proxy proxy;
     proxy.wait_for(900ms, false);
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST(proxy.asked_at_peer().empty());
     BOOST_TEST(caller.accepted);
@@ -78,7 +78,8 @@
 BOOST_AUTO_TEST_CASE(relayed_session_is_not_relayed_again) {
     partitioned_proxy proxy;
     proxy.wait_for(900ms, true);
-    caller_script caller{.events = {session::session_opening{"strict", true}, ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{
+        .events = {session::session_opening{"strict", true}, request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST(!caller.accepted);
     BOOST_TEST(caller.refusals.size() == 1U);
@@ -91,7 +92,7 @@
     partitioned_proxy proxy;
     proxy.wait_for(900ms, true);
     proxy.connector.owners[2000].answers = 0;
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST_REQUIRE(caller.answers.front().error.has_value());
@@ -127,7 +128,7 @@
     partitioned_proxy proxy;
     proxy.wait_for(900ms, true);
     proxy.connector.owners.clear();
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     const auto begun = boot_clock::now();
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
--- a/tests/unit/replica_progress.cpp
+++ b/tests/unit/replica_progress.cpp
@@ -83,8 +83,8 @@
     auto& pool = proxy.host.pool_for("stock");
     caller_script caller{.events = {opening("own")}};
     for (int i = 0; i < 30; ++i) {
-        caller.events.push_back(ask("w" + std::to_string(i), statement_kind::write, "1 x"));
-        caller.events.push_back(ask("r" + std::to_string(i), statement_kind::read, "1"));
+        caller.events.push_back(request("w" + std::to_string(i), statement_kind::write, "1 x"));
+        caller.events.push_back(request("r" + std::to_string(i), statement_kind::read, "1"));
     }
     proxy.play({&caller});
     std::size_t refused = 0;
@@ -94,7 +94,7 @@
     BOOST_TEST(refused <= 4U);
     proxy.server("r1").position = proxy.server("p").position;
     pool.add_sample({boot_clock::now(), proxy.server("p").position});
-    caller_script later{.events = {opening("own"), ask("a", statement_kind::read, "1")}};
+    caller_script later{.events = {opening("own"), request("a", statement_kind::read, "1")}};
     proxy.later(0ms, [&] { proxy.host.tick(); });
     later.before[1] = [&] { proxy.host.tick(); };
     proxy.play({&later});
--- a/tests/unit/server_restarts.cpp
+++ b/tests/unit/server_restarts.cpp
@@ -36,8 +36,8 @@
 BOOST_AUTO_TEST_CASE(restarted_primary_is_not_used_before_leadership_confirmation) {
     proxy_in_memory proxy;
     proxy.host.update(initial_registry());
-    caller_script caller{
-        .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::read, "2")}};
     caller.before[2] = [&] {
         proxy.server("p").is_primary = false;
         proxy.server("r1").is_primary = true;
@@ -69,8 +69,8 @@
 BOOST_AUTO_TEST_CASE(connections_to_the_previous_process_are_replaced) {
     proxy_in_memory proxy;
     proxy.host.update(initial_registry());
-    caller_script caller{.events = {opening("own"), ask("w", statement_kind::write, "1 x"),
-                                    ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
+    caller_script caller{.events = {opening("own"), request("w", statement_kind::write, "1 x"),
+                                    request("a", statement_kind::read, "1"), request("b", statement_kind::read, "2")}};
     proxy.server("r1").position = {1, 11};
     proxy.server("r2").position = {1, 11};
     int opened_before = 0;
@@ -112,8 +112,8 @@
 BOOST_AUTO_TEST_CASE(primary_that_lost_its_log_serves_no_reads) {
     proxy_in_memory proxy;
     proxy.host.update(initial_registry());
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x"),
-                                    ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x"),
+                                    request("a", statement_kind::read, "1"), request("b", statement_kind::read, "1")}};
     caller.before[3] = [&] {
         proxy.server("p").position = {1, 0};
         proxy.host.update(registry_after_restart("p", 3, 2000, routing::server_role::primary));
@@ -132,9 +132,9 @@
 // As above, but the restart went unnoticed and the registration did not change.
 BOOST_AUTO_TEST_CASE(lost_log_is_detected_before_reregistration) {
     proxy_in_memory proxy;
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x"),
-                                    ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1"),
-                                    ask("c", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x"),
+                                    request("a", statement_kind::read, "1"), request("b", statement_kind::read, "1"),
+                                    request("c", statement_kind::read, "1")}};
     caller.before[3] = [&] {
         proxy.server("p").position = {1, 0};
         proxy.server("p").reset_connections = true;
@@ -158,8 +158,8 @@
 // was restarted.
 BOOST_AUTO_TEST_CASE(promoted_replica_without_the_last_commits_is_used) {
     proxy_in_memory proxy;
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x"),
-                                    ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x"),
+                                    request("a", statement_kind::read, "1"), request("b", statement_kind::read, "1")}};
     caller.before[3] = [&] {
         proxy.server("p").is_primary = false;
         proxy.server("r1").is_primary = true;
@@ -176,7 +176,7 @@
 BOOST_AUTO_TEST_CASE(new_proxy_does_not_read_from_primary_that_lost_its_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {1, 0};
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(!caller.answers[0].ok());
@@ -190,7 +190,7 @@
 BOOST_AUTO_TEST_CASE(new_proxy_does_not_write_to_primary_that_lost_its_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {1, 0};
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(!caller.answers[0].ok());
@@ -203,7 +203,7 @@
     for (const auto* id : {"p", "r1", "r2"}) {
         proxy.server(id).position = {1, 0};
     }
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(caller.answers[0].ok());
@@ -218,7 +218,7 @@
     proxy.server("r1").connect_fails = routing::connect_failure::refused;
     proxy.server("r2").connect_fails = routing::connect_failure::refused;
     proxy.host.note_reported_position("stock", {"p", {1, 9}});
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(!caller.answers[0].ok());
@@ -229,7 +229,7 @@
 BOOST_AUTO_TEST_CASE(peer_report_without_position_does_not_clear_a_lost_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {1, 0};
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     auto& pool = proxy.host.pool_for("stock");
     pool.accept_peer_confirmation("p", boot_clock::now());
@@ -243,7 +243,7 @@
     proxy.server("p").position = {2, 0};
     proxy.server("r1").position = {1, 7};
     proxy.server("r2").position = {2, 0};
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
     BOOST_TEST(!caller.answers[0].ok());
@@ -254,7 +254,7 @@
 BOOST_AUTO_TEST_CASE(row_of_an_earlier_primary_does_not_hide_a_lost_log) {
     proxy_in_memory proxy;
     proxy.server("p").position = {2, 0};
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     proxy.server("r1").connect_fails = routing::connect_failure::refused;
     proxy.host.update(registry_after_restart("r1", 5, 1000, routing::server_role::primary));
@@ -282,7 +282,7 @@
     proxy_in_memory proxy;
     proxy.server("p").refuse = 1000;
     proxy.server("p").refuse_with = sql::refusal::not_primary;
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     const auto begun = boot_clock::now();
     proxy.play({&caller});
     BOOST_TEST_REQUIRE(caller.answers.size() == 1U);
--- a/tests/unit/sessions.cpp
+++ b/tests/unit/sessions.cpp
@@ -61,8 +61,8 @@
 // run there without leadership confirmation.
 BOOST_AUTO_TEST_CASE(read_waits_for_leadership_confirmation) {
     proxy_in_memory proxy;
-    caller_script caller{
-        .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::read, "2")}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
     BOOST_TEST(ok(caller, 1));
@@ -85,8 +85,8 @@
 // open transaction makes the server refuse the read.
 BOOST_AUTO_TEST_CASE(read_at_demoted_primary_is_retried_at_new_primary) {
     proxy_in_memory proxy;
-    caller_script caller{
-        .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::read, "2")}};
     caller.before[2] = [&] {
         proxy.server("p").is_primary = false;
         proxy.server("r1").is_primary = true;
@@ -98,8 +98,8 @@
 
 BOOST_AUTO_TEST_CASE(read_runs_on_replica_that_reached_the_floor) {
     proxy_in_memory proxy;
-    caller_script caller{
-        .events = {opening("own"), ask("w", statement_kind::write, "1 x"), ask("r", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("own"), request("w", statement_kind::write, "1 x"),
+                                    request("r", statement_kind::read, "1")}};
     proxy.server("r1").position = {1, 11};
     proxy.server("r2").position = {1, 11};
     caller.before[2] = [&] { proxy.host.tick(); };
@@ -112,8 +112,8 @@
 // applied it yet.
 BOOST_AUTO_TEST_CASE(replicas_without_the_sessions_commit_are_skipped) {
     proxy_in_memory proxy;
-    caller_script caller{
-        .events = {opening("own"), ask("w", statement_kind::write, "1 x"), ask("r", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("own"), request("w", statement_kind::write, "1 x"),
+                                    request("r", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 1));
     BOOST_TEST(caller.answers[1].signature == "sig-r");
@@ -126,7 +126,7 @@
 BOOST_AUTO_TEST_CASE(write_with_lost_reply_is_not_retried) {
     proxy_in_memory proxy;
     proxy.server("p").lose_answers = 1;
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST((why(caller, 0) == refusal::outcome_unknown));
     BOOST_TEST(proxy.server("p").of("w").size() == 1U);
@@ -136,7 +136,7 @@
     proxy_in_memory proxy;
     proxy.server("p").is_primary = false;
     proxy.server("r2").is_primary = true;
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
     BOOST_TEST(proxy.server("r2").of("w").size() == 1U);
@@ -145,7 +145,7 @@
 BOOST_AUTO_TEST_CASE(read_with_lost_reply_is_retried_on_another_server) {
     proxy_in_memory proxy;
     caller_script caller{
-        .events = {opening("fresh"), ask("w", statement_kind::read, "0"), ask("a", statement_kind::read, "1")}};
+        .events = {opening("fresh"), request("w", statement_kind::read, "0"), request("a", statement_kind::read, "1")}};
     caller.before[2] = [&] {
         proxy.server("r1").lose_answers = 1;
         proxy.server("r2").lose_answers = 1;
@@ -161,9 +161,9 @@
     proxy_in_memory proxy;
     proxy.host.set_proxies(make_proxies(8));
     proxy.server("p").silent_for = 250ms;
-    caller_script first{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script first{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     first.before[1] = [&] { proxy.server("p").lose_answers = 1; };
-    caller_script second{.events = {opening("strict"), ask("r", statement_kind::read, "1")}};
+    caller_script second{.events = {opening("strict"), request("r", statement_kind::read, "1")}};
     for (int i = 0; i < 40; ++i) {
         proxy.later(std::chrono::milliseconds{10 * i}, [&] { proxy.host.tick(); });
     }
@@ -187,10 +187,10 @@
 // failed half-way, and its connection was reused with the transaction open.
 BOOST_AUTO_TEST_CASE(failed_transaction_is_rolled_back_and_refuses_statements_until_ended) {
     proxy_in_memory proxy;
-    caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
-                                    ask("w", statement_kind::write, "1 x"), ask("v", statement_kind::write, "2 x"),
-                                    ask("r", statement_kind::read, "1"), ask("c", statement_kind::commit),
-                                    ask("z", statement_kind::read, "3")}};
+    caller_script caller{.events = {opening("strict"), request("b", statement_kind::begin),
+                                    request("w", statement_kind::write, "1 x"),
+                                    request("v", statement_kind::write, "2 x"), request("r", statement_kind::read, "1"),
+                                    request("c", statement_kind::commit), request("z", statement_kind::read, "3")}};
     caller.before[3] = [&] { proxy.server("p").refuse = 1; };
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 1));
@@ -206,11 +206,11 @@
 // Guards against reporting a commit as not run when it ran and its reply was lost.
 BOOST_AUTO_TEST_CASE(commit_without_reply_has_unknown_outcome_unless_read_only) {
     proxy_in_memory proxy;
-    caller_script writer{.events = {opening("strict"), ask("b", statement_kind::begin),
-                                    ask("w", statement_kind::write, "1 x"), ask("c", statement_kind::commit)}};
+    caller_script writer{.events = {opening("strict"), request("b", statement_kind::begin),
+                                    request("w", statement_kind::write, "1 x"), request("c", statement_kind::commit)}};
     writer.before[3] = [&] { proxy.server("p").lose_answers = 1; };
-    caller_script reader{.events = {opening("strict"), ask("b2", statement_kind::begin),
-                                    ask("r", statement_kind::read, "1"), ask("c2", statement_kind::commit)}};
+    caller_script reader{.events = {opening("strict"), request("b2", statement_kind::begin),
+                                    request("r", statement_kind::read, "1"), request("c2", statement_kind::commit)}};
     reader.before[3] = [&] { proxy.server("p").lose_answers = 1; };
     proxy.play({&writer, &reader});
     BOOST_TEST((why(writer, 2) == refusal::outcome_unknown));
@@ -220,7 +220,7 @@
 BOOST_AUTO_TEST_CASE(transaction_is_rolled_back_when_caller_disconnects) {
     proxy_in_memory proxy;
     caller_script caller{
-        .events = {opening("strict"), ask("b", statement_kind::begin), ask("w", statement_kind::write, "1 x")}};
+        .events = {opening("strict"), request("b", statement_kind::begin), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     const auto& received_statements = proxy.server("p").received_statements;
     const auto write = std::ranges::find_if(received_statements, [](const auto& item) { return item.id == "w"; });
@@ -235,9 +235,10 @@
 // from all others.
 BOOST_AUTO_TEST_CASE(idle_transaction_is_rolled_back_after_timeout) {
     proxy_in_memory proxy;
-    caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
-                                    ask("w", statement_kind::write, "1 x"), session::caller_timed_out{},
-                                    ask("v", statement_kind::write, "2 x"), ask("c", statement_kind::rollback)}};
+    caller_script caller{.events = {opening("strict"), request("b", statement_kind::begin),
+                                    request("w", statement_kind::write, "1 x"), session::caller_timed_out{},
+                                    request("v", statement_kind::write, "2 x"),
+                                    request("c", statement_kind::rollback)}};
     proxy.play({&caller});
     BOOST_TEST((why(caller, 2) == refusal::malformed));
     BOOST_TEST(ok(caller, 3));
@@ -249,10 +250,11 @@
 BOOST_AUTO_TEST_CASE(connection_has_exactly_the_values_of_its_session) {
     proxy_in_memory proxy;
     proxy.host.set_proxies(make_proxies(11));
-    caller_script first{.events = {opening("strict"), ask("s1", statement_kind::set, "a1", "alpha"),
-                                   ask("s2", statement_kind::set, "b1", "beta"), ask("r1", statement_kind::read, "1")}};
-    caller_script second{.events = {opening("strict"), ask("s3", statement_kind::set, "a2", "alpha"),
-                                    ask("r2", statement_kind::read, "1")}};
+    caller_script first{.events = {opening("strict"), request("s1", statement_kind::set, "a1", "alpha"),
+                                   request("s2", statement_kind::set, "b1", "beta"),
+                                   request("r1", statement_kind::read, "1")}};
+    caller_script second{.events = {opening("strict"), request("s3", statement_kind::set, "a2", "alpha"),
+                                    request("r2", statement_kind::read, "1")}};
     proxy.play({&first, &second});
     const auto first_read = proxy.server("p").of("r1");
     const auto second_read = proxy.server("p").of("r2");
@@ -268,8 +270,8 @@
 // a transaction opened under the older one, to which the server attributes it.
 BOOST_AUTO_TEST_CASE(transaction_opened_under_older_configuration_is_not_used) {
     proxy_in_memory proxy;
-    caller_script caller{
-        .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::read, "2")}};
     std::size_t begun_before = 0;
     caller.before[2] = [&] {
         proxy.host.update(three_databases(2));
@@ -287,8 +289,8 @@
 
 BOOST_AUTO_TEST_CASE(removed_database_is_refused_from_next_statement) {
     proxy_in_memory proxy;
-    caller_script caller{
-        .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::read, "2")}};
     caller.before[2] = [&] {
         auto config = three_databases(2);
         config.routes.erase("strict");
@@ -312,8 +314,8 @@
 // just as its session was closed as idle, ran, and its reply could not be sent.
 BOOST_AUTO_TEST_CASE(planned_stop_answers_received_requests_before_closing) {
     proxy_in_memory proxy;
-    caller_script caller{
-        .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "2")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::read, "2")}};
     caller.before[1] = [&] { proxy.host.close_idle_sessions(); };
     proxy.play({&caller});
     BOOST_TEST(caller.answers.size() == 2U);
@@ -324,7 +326,7 @@
 // closed while a request was in transit. Right after a reply there can be none.
 BOOST_AUTO_TEST_CASE(planned_stop_closes_session_after_next_reply) {
     proxy_in_memory proxy;
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     caller.before[1] = [&] { proxy.host.close_after_answer(); };
     proxy.play({&caller});
     BOOST_TEST(caller.answers.size() == 1U);
@@ -334,8 +336,9 @@
 
 BOOST_AUTO_TEST_CASE(planned_stop_aborts_transactions_at_next_statement) {
     proxy_in_memory proxy;
-    caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
-                                    ask("w", statement_kind::write, "1 x"), ask("v", statement_kind::write, "2 x")}};
+    caller_script caller{.events = {opening("strict"), request("b", statement_kind::begin),
+                                    request("w", statement_kind::write, "1 x"),
+                                    request("v", statement_kind::write, "2 x")}};
     caller.before[3] = [&] { proxy.host.abort_transactions(); };
     proxy.play({&caller});
     BOOST_TEST((why(caller, 2) == refusal::aborted));
@@ -357,7 +360,7 @@
         servers.servers["r1"].role = routing::server_role::primary;
         proxy.host.update(servers);
     });
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
     BOOST_TEST(proxy.server("r1").of("w").size() == 1U);
@@ -370,7 +373,7 @@
     for (const auto* id : {"p", "r1", "r2"}) {
         proxy.server(id).is_primary = false;
     }
-    caller_script caller{.events = {opening("strict"), ask("w", statement_kind::write, "1 x")}};
+    caller_script caller{.events = {opening("strict"), request("w", statement_kind::write, "1 x")}};
     proxy.play({&caller});
     BOOST_TEST((why(caller, 0) == refusal::overloaded));
     BOOST_TEST(caller.answers[0].error->text.find("retry after") != std::string::npos);
@@ -389,16 +392,17 @@
     proxy.host.set_proxies(make_proxies(20));
     auto& owner = proxy.connector.owners[shared.owners.front().sessions.port()];
     owner.answers = 3;
-    caller_script caller{.events = {opening("strict"), ask("r", statement_kind::read, "1"),
-                                    ask("b", statement_kind::begin), ask("w", statement_kind::write, "1 x"),
-                                    ask("c", statement_kind::commit)}};
+    caller_script caller{.events = {opening("strict"), request("r", statement_kind::read, "1"),
+                                    request("b", statement_kind::begin), request("w", statement_kind::write, "1 x"),
+                                    request("c", statement_kind::commit)}};
     proxy.play({&caller});
     BOOST_TEST(caller.answers[0].signature == "owner-r");
     BOOST_TEST(proxy.server("p").received_statements.empty());
     // The owner disconnects before it replies to the commit, which may have run.
     BOOST_TEST((why(caller, 3) == refusal::outcome_unknown));
     // A session relayed by another proxy is executed locally.
-    caller_script relayed{.events = {session::session_opening{"strict", true}, ask("q", statement_kind::read, "1")}};
+    caller_script relayed{
+        .events = {session::session_opening{"strict", true}, request("q", statement_kind::read, "1")}};
     proxy.play({&relayed});
     BOOST_TEST(proxy.server("p").of("q").size() == 1U);
 }
@@ -408,9 +412,9 @@
 // owner, which shares the CPU of a small VM.
 BOOST_AUTO_TEST_CASE(session_state_requests_do_not_wait_for_the_owner) {
     relaying_proxy proxy;
-    caller_script caller{.events = {opening("strict"), ask("s", statement_kind::set, "1"),
-                                    ask("p", statement_kind::prepare, "q"), ask("b", statement_kind::begin),
-                                    ask("r", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("s", statement_kind::set, "1"),
+                                    request("p", statement_kind::prepare, "q"), request("b", statement_kind::begin),
+                                    request("r", statement_kind::read, "1")}};
     proxy.owner->answers = 0;
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
@@ -428,8 +432,8 @@
 BOOST_AUTO_TEST_CASE(no_statement_runs_after_owner_refused_begin) {
     relaying_proxy proxy;
     proxy.owner->refuses_forwarded = true;
-    caller_script caller{.events = {opening("strict"), ask("b", statement_kind::begin),
-                                    ask("w", statement_kind::write, "1 x"), ask("c", statement_kind::commit)}};
+    caller_script caller{.events = {opening("strict"), request("b", statement_kind::begin),
+                                    request("w", statement_kind::write, "1 x"), request("c", statement_kind::commit)}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
     BOOST_TEST((why(caller, 1) == refusal::aborted));
@@ -446,9 +450,10 @@
     BOOST_TEST_REQUIRE(proxy.owners.size() >= 2U);
     proxy.owners[0]->position = sql::log_position{3, 77};
     proxy.owners[0]->answers = 3;
-    caller_script caller{.events = {opening("own"), ask("s", statement_kind::set, "1", "zone"),
-                                    ask("p", statement_kind::prepare, "q", "n"), ask("w", statement_kind::write, "1 x"),
-                                    ask("r", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("own"), request("s", statement_kind::set, "1", "zone"),
+                                    request("p", statement_kind::prepare, "q", "n"),
+                                    request("w", statement_kind::write, "1 x"),
+                                    request("r", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 2));
     BOOST_TEST(caller.answers[2].signature == "owner-w");
@@ -465,9 +470,9 @@
     relaying_proxy proxy{8};
     proxy.owners[0]->position = sql::log_position{3, 78};
     proxy.owners[0]->answers = 3;
-    caller_script caller{.events = {opening("own"), ask("b", statement_kind::begin),
-                                    ask("w", statement_kind::write, "1 x"), ask("c", statement_kind::commit),
-                                    ask("r", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("own"), request("b", statement_kind::begin),
+                                    request("w", statement_kind::write, "1 x"), request("c", statement_kind::commit),
+                                    request("r", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 2));
     BOOST_TEST(ok(caller, 3));
@@ -481,7 +486,7 @@
 BOOST_AUTO_TEST_CASE(non_owner_closes_unused_connections) {
     relaying_proxy proxy;
     proxy.connector.owners.clear();
-    caller_script caller{.events = {opening("strict"), ask("r", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("r", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
     const auto held = [&] {
@@ -511,9 +516,9 @@
 // Most sessions open and wait; these must not use resources of an owner.
 BOOST_AUTO_TEST_CASE(owner_is_contacted_only_for_executed_statements) {
     relaying_proxy proxy;
-    caller_script caller{.events = {opening("strict"), ask("s", statement_kind::set, "1", "zone"),
-                                    ask("p", statement_kind::prepare, "q", "n"), ask("b", statement_kind::begin),
-                                    ask("x", statement_kind::rollback)}};
+    caller_script caller{.events = {opening("strict"), request("s", statement_kind::set, "1", "zone"),
+                                    request("p", statement_kind::prepare, "q", "n"),
+                                    request("b", statement_kind::begin), request("x", statement_kind::rollback)}};
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 3));
     BOOST_TEST(proxy.owner->opened_after.empty());
@@ -528,8 +533,8 @@
     proxy.host.update(config);
     const auto shared = session::allocate_connections("stock", 5, make_proxies(20));
     auto& owner = proxy.connector.owners[shared.owners.front().sessions.port()];
-    caller_script caller{
-        .events = {opening("strict"), ask("a", statement_kind::read, "1"), ask("b", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1"),
+                                    request("b", statement_kind::read, "1")}};
     caller.before[2] = [&] { proxy.host.set_proxies(make_proxies(20)); };
     proxy.play({&caller});
     BOOST_TEST(ok(caller, 0));
@@ -550,7 +555,7 @@
         proxy.host.update(config);
         proxy.host.set_proxies(make_proxies(20));
     });
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     proxy.play({&caller});
     BOOST_TEST((why(caller, 0) == refusal::no_such_database));
 }
--- a/tests/unit/startup.cpp
+++ b/tests/unit/startup.cpp
@@ -14,7 +14,7 @@
 // that were still reading the configuration, and had no attempts left.
 BOOST_AUTO_TEST_CASE(session_opening_waits_for_the_first_configuration) {
     proxy_in_memory proxy{proxy_in_memory::unconfigured{}};
-    caller_script caller{.events = {opening("strict"), ask("a", statement_kind::read, "1")}};
+    caller_script caller{.events = {opening("strict"), request("a", statement_kind::read, "1")}};
     proxy.later(40ms, [&] { proxy.configure(); });
     const auto begun = boot_clock::now();
     proxy.play({&caller});
