--- a/src/cornellever/cluster/control.hpp
+++ b/src/cornellever/cluster/control.hpp
@@ -113,7 +113,7 @@
     /// Tells all peers that this proxy has closed its connections to the backend servers, so that
     /// the peers can open them instead: all proxies together stay within each server's connection
     /// limit.
-    void farewell();
+    void send_farewell();
 
 private:
     /// What this proxy last concluded about a service's primary.
--- a/src/cornellever/cluster/traffic_bridge.hpp
+++ b/src/cornellever/cluster/traffic_bridge.hpp
@@ -59,9 +59,9 @@
         asio::post(m_executor, [this, at] { m_host.confirm_configuration(at); });
     }
 
-    void set_proxies(std::vector<session::proxy_node> places, bool complete) {
-        asio::post(m_executor, [this, places = std::move(places), complete]() mutable {
-            m_host.set_proxies(std::move(places), complete);
+    void set_proxies(std::vector<session::proxy_node> proxies, bool complete) {
+        asio::post(m_executor, [this, proxies = std::move(proxies), complete]() mutable {
+            m_host.set_proxies(std::move(proxies), complete);
         });
     }
 
@@ -149,7 +149,7 @@
     }
 
     asio::awaitable<void> query_one(pool& backends, std::string id, bool draining, std::shared_ptr<query_state> into) {
-        auto answer = co_await backends.ask(id, sql::proxy_command(sql::statement_kind::status), query_timeout);
+        auto answer = co_await backends.query(id, sql::proxy_command(sql::statement_kind::status), query_timeout);
         replica_report report{.id = id, .received = {}, .draining = draining, .answered = answer.has_value()};
         if (answer) {
             if (const auto status = Connector::status_of(*answer)) {
--- a/src/cornellever/proxy/backend_connections.hpp
+++ b/src/cornellever/proxy/backend_connections.hpp
@@ -47,10 +47,10 @@
     /// instances of the same database that are still in an earlier term.
     void record(const heartbeat& report);
 
-    /// Applies the list of machines from the platform, the external service that keeps the configuration and this list.
-    /// `leaving` holds the machines that are being taken out of service; `proxies` is the number of running proxies,
+    /// Applies the list of VMs from the platform, the external service that keeps the configuration and this list.
+    /// `leaving` holds the VMs that are being taken out of service; `proxies` is the number of running proxies,
     /// which share each instance's connections equally.
-    void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies);
+    void set_vms(const std::set<std::string, std::less<>>& leaving, std::size_t proxies);
 
     /// Returns the backend instances with their last reported state.
     [[nodiscard]] topology& known_instances() noexcept { return m_topology; }
--- a/src/cornellever/proxy/config_follower.hpp
+++ b/src/cornellever/proxy/config_follower.hpp
@@ -12,7 +12,7 @@
 
 namespace cornellever::proxy {
 
-/// Key of the applied configuration in the table of the platform, the service that lists the machines and keeps a small
+/// Key of the applied configuration in the table of the platform, the service that lists the VMs and keeps a small
 /// key-value store with versioned rows.
 inline constexpr std::string_view config_row = "config/current";
 
--- a/src/cornellever/proxy/control.hpp
+++ b/src/cornellever/proxy/control.hpp
@@ -17,9 +17,9 @@
 
 namespace cornellever::proxy {
 
-/// Intervals and deadlines of heartbeats and of polling the list of machines.
+/// Intervals and deadlines of heartbeats and of polling the list of VMs.
 struct control_limits {
-    std::chrono::milliseconds machines_poll{1000};
+    std::chrono::milliseconds vm_list_poll{1000};
     std::chrono::milliseconds call_deadline{400};
     std::chrono::milliseconds heartbeat_interval{200};
     std::chrono::milliseconds heartbeat_deadline{300};
@@ -29,7 +29,7 @@
 };
 
 /// The control plane of a proxy, run on its own thread: sends heartbeats to every instance of the current
-/// configuration, polls the list of machines from the platform (the service that lists the machines and keeps a small
+/// configuration, polls the list of VMs from the platform (the service that lists the VMs and keeps a small
 /// table of shared data), starts failovers through `primary_monitor`, and passes the results to the router on the
 /// traffic thread, which serves callers (client applications).
 class control {
@@ -37,15 +37,15 @@
     control(asio::any_io_executor control_executor, asio::any_io_executor traffic, router& traffic_router,
             const settings& own_settings, const state_chart& failover_steps, control_limits limits = {});
 
-    /// Starts polling for the configuration and the machine list, and monitoring the primaries.
+    /// Starts polling for the configuration and the VM list, and monitoring the primaries.
     void start();
 
 private:
-    asio::awaitable<void> poll_machines();
+    asio::awaitable<void> poll_vm_list();
     asio::awaitable<void> probe(std::string key, tcp::endpoint address, std::uint64_t generation);
     [[nodiscard]] std::chrono::milliseconds heartbeat_pause(std::string_view key) const;
     void apply_config(config::cluster config);
-    void apply_machines(const Json::Value& list);
+    void apply_vm_list(const Json::Value& list);
     void record_heartbeat(const heartbeat& report);
 
     asio::any_io_executor m_control_executor;
--- a/src/cornellever/proxy/failover.hpp
+++ b/src/cornellever/proxy/failover.hpp
@@ -23,7 +23,7 @@
 struct group_member {
     std::string key;
     tcp::endpoint address;
-    /// True if the instance's machine is leaving (being taken out of service) or the instance is the current primary.
+    /// True if the instance's VM is leaving (being taken out of service) or the instance is the current primary.
     /// Such an instance is promoted only if the other fenced members are not a majority by themselves. Otherwise a
     /// primary that is cut off from its replicas could be promoted again: its log is the longest because of writes that
     /// no other member holds, but it would still be cut off.
@@ -32,7 +32,7 @@
 
 /// A database's stored record (its term, its primary and the proxy that claimed the term) with the version of the row
 /// that holds the record; version 0 if there is no row yet. The row is in the table of the platform, the external
-/// service that keeps the configuration and the list of machines.
+/// service that keeps the configuration and the list of VMs.
 struct versioned_record {
     group_record record;
     std::uint64_t version{0};
--- a/src/cornellever/proxy/platform_store.hpp
+++ b/src/cornellever/proxy/platform_store.hpp
@@ -11,7 +11,7 @@
 namespace cornellever::proxy {
 
 /// Implements `record_store`, which reads and writes the records of failovers, by RPC on the table of the platform, the
-/// external service that keeps the configuration and the list of machines.
+/// external service that keeps the configuration and the list of VMs.
 class platform_store {
 public:
     platform_store(asio::any_io_executor executor, tcp::endpoint platform, std::chrono::milliseconds deadline);
--- a/src/cornellever/proxy/pool.hpp
+++ b/src/cornellever/proxy/pool.hpp
@@ -46,7 +46,7 @@
     void terminate(std::uint64_t session);
 
     /// Closes all idle connections. Called after a call timed out: the cause (a middlebox that drops connections, a
-    /// failing machine) has probably broken the idle connections too, and each of them would cost another request a
+    /// failing VM) has probably broken the idle connections too, and each of them would cost another request a
     /// full timeout.
     void close_idle();
 
@@ -59,7 +59,7 @@
     void resize(std::size_t budget);
 
     /// Closes the idle connections if `retired` is true, and from then on each connection when it is returned. Used for
-    /// an instance that is leaving (its machine is being taken out of service).
+    /// an instance that is leaving (its VM is being taken out of service).
     void retire(bool retired);
 
     /// Returns the budget and the counts of open connections, idle connections and waiting requests, for the state
--- a/src/cornellever/proxy/primary_health.hpp
+++ b/src/cornellever/proxy/primary_health.hpp
@@ -14,7 +14,7 @@
     /// No primary responds and no responsive replica is in contact with one; or a primary responds, but none of its
     /// responsive replicas is in contact with it, and those replicas are a majority of the members.
     lost,
-    /// The primary's machine is leaving (being taken out of service), and a majority of the members can continue
+    /// The primary's VM is leaving (being taken out of service), and a majority of the members can continue
     /// without it.
     leaving,
     /// No primary responds to this proxy, but a replica is in contact with one. The primary is lost only if the other
--- a/src/cornellever/proxy/primary_monitor.hpp
+++ b/src/cornellever/proxy/primary_monitor.hpp
@@ -28,7 +28,7 @@
     std::chrono::milliseconds unreachable_timeout{1000};
 };
 
-/// Monitors the primary of every database by heartbeats. Starts a failover when the primary is lost, when its machine
+/// Monitors the primary of every database by heartbeats. Starts a failover when the primary is lost, when its VM
 /// is leaving (being taken out of service), or when a majority of the proxies cannot reach it.
 class primary_monitor {
 public:
--- a/src/cornellever/proxy/router.hpp
+++ b/src/cornellever/proxy/router.hpp
@@ -36,10 +36,10 @@
     /// Applies a heartbeat result from the control thread.
     void record(const heartbeat& report) { m_backends.record(report); }
 
-    /// Applies the list of machines that the control thread polled from the platform, the external service that keeps
+    /// Applies the list of VMs that the control thread polled from the platform, the external service that keeps
     /// the configuration and this list; see `backend_connections::set_machines`.
-    void set_machines(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
-        m_backends.set_machines(leaving, proxies);
+    void set_vms(const std::set<std::string, std::less<>>& leaving, std::size_t proxies) {
+        m_backends.set_vms(leaving, proxies);
     }
 
     /// Makes the proxy refuse new transactions from now on, with an error that tells the caller that nothing ran.
--- a/src/cornellever/proxy/topology.hpp
+++ b/src/cornellever/proxy/topology.hpp
@@ -20,7 +20,7 @@
 /// How long an instance counts as healthy after its last successful heartbeat.
 inline constexpr auto health_timeout = std::chrono::milliseconds{600};
 
-/// How long a primary whose machine is leaving (being taken out of service) still gets new work while no successor has
+/// How long a primary whose VM is leaving (being taken out of service) still gets new work while no successor has
 /// been promoted.
 inline constexpr auto leaving_grace = std::chrono::milliseconds{3000};
 
@@ -28,7 +28,7 @@
 struct heartbeat {
     std::string key;
     bool answered{false};
-    /// True if the machine refused the connection, which means that the instance's process is not running.
+    /// True if the VM refused the connection, which means that the instance's process is not running.
     bool refused{false};
     bool primary{false};
     std::uint64_t term{0};
@@ -55,8 +55,8 @@
     std::int64_t staleness_ms{0};
     std::int64_t primary_contact_age_ms{0};
     std::chrono::steady_clock::time_point last_heartbeat_at{};
-    /// Since when the platform (the external service that keeps the configuration and the list of machines) has listed
-    /// the instance's machine as leaving; empty if the machine is not listed as leaving.
+    /// Since when the platform (the external service that keeps the configuration and the list of VMs) has listed
+    /// the instance's VM as leaving; empty if the VM is not listed as leaving.
     std::optional<std::chrono::steady_clock::time_point> leaving_since;
 
     /// Whether new requests and transactions may be sent to this instance. A leaving replica gets none; a leaving
@@ -83,7 +83,7 @@
     /// Records a heartbeat result; results for unknown instances are ignored.
     void record(const heartbeat& report, std::chrono::steady_clock::time_point now);
 
-    /// Marks the instances whose machine (`IP` or `IP:PORT`) is in `leaving`, and unmarks all others.
+    /// Marks the instances whose VM (`IP` or `IP:PORT`) is in `leaving`, and unmarks all others.
     void set_leaving(const std::set<std::string, std::less<>>& leaving, std::chrono::steady_clock::time_point now);
 
     /// Returns the healthy primary of a database with the highest term, or null.
--- a/src/cornellever/session/connection_session_state.hpp
+++ b/src/cornellever/session/connection_session_state.hpp
@@ -23,7 +23,7 @@
 
 /// Returns the name under which a statement is prepared on backend connections. The name is derived from the
 /// statement's access mode and shape, because different callers may give the same name to different statements.
-[[nodiscard]] std::string prepared_name(const prepared_statement& what);
+[[nodiscard]] std::string prepared_name(const prepared_statement& prepared);
 
 /// Returns the statements that prepare a connection for a session: they set exactly the session's values and, unless
 /// `needed_statement` is null, prepare that statement. Updates `connection` to the resulting state. If the connection
--- a/src/cornellever/session/traffic.hpp
+++ b/src/cornellever/session/traffic.hpp
@@ -50,7 +50,7 @@
         , m_connector{connector}
         , m_name{std::move(name)}
         , m_data_center{std::move(data_center)}
-        , m_gate{lease}
+        , m_authorizer{lease}
         , m_engine{m_counters}
         , m_configuration_due{m_executor, max_configuration_wait} {}
 
@@ -63,7 +63,7 @@
     /// Records that the configuration in force, or an older one, was confirmed to be current at the time `at`. This
     /// extends the configuration lease, the time for which this proxy may check API keys against its copy of the
     /// configuration.
-    void confirm_configuration(boot_clock::time_point at) { m_gate.confirm_current(at); }
+    void confirm_configuration(boot_clock::time_point at) { m_authorizer.confirm_current(at); }
 
     /// Sets the proxies that share each server's connections, including this proxy. The list is empty while the proxies
     /// are not known yet. `complete` is true if the list is known to contain all proxies.
@@ -78,7 +78,7 @@
     }
 
     /// Records the log position that another proxy reported for a primary.
-    void note_reported_position(const std::string& service, reported_position what);
+    void note_reported_position(const std::string& service, reported_position position);
 
     /// Performs the periodic maintenance: detects cut network paths to primaries, maintains the pools, and closes idle
     /// relayed sessions whose primary this proxy does not reach.
@@ -111,7 +111,7 @@
 
     [[nodiscard]] std::size_t sessions() const noexcept { return m_sessions.size(); }
     [[nodiscard]] const routing::configuration& config() const noexcept { return m_config; }
-    [[nodiscard]] const accounts::authorizer& authorizer() const noexcept { return m_gate; }
+    [[nodiscard]] const accounts::authorizer& authorizer() const noexcept { return m_authorizer; }
     [[nodiscard]] const routing::registry& servers() const noexcept { return m_registry; }
     [[nodiscard]] const traffic_counters& counters() const noexcept { return m_counters; }
     [[nodiscard]] std::map<std::string, std::unique_ptr<pool>, std::less<>>& pools() noexcept { return m_pools; }
@@ -161,8 +161,8 @@
     asio::awaitable<sql::reply> run(active_session& active, const sql::request& request);
     sql::reply begin(active_session& active, bool read_only);
     sql::reply roll_back(active_session& active);
-    sql::reply prepare(active_session& active, const sql::statement& what);
-    sql::reply deallocate(active_session& active, const sql::statement& what);
+    sql::reply prepare(active_session& active, const sql::statement& statement);
+    sql::reply deallocate(active_session& active, const sql::statement& statement);
     [[nodiscard]] static sql::transaction_state state_of(const active_session& active);
     [[nodiscard]] boot_clock::time_point request_deadline(const active_session& active) const;
 
@@ -207,7 +207,7 @@
     /// The connection owners of each service, by service name; computed on first use.
     std::map<std::string, connection_ownership, std::less<>> m_ownership;
     traffic_counters m_counters;
-    accounts::authorizer m_gate;
+    accounts::authorizer m_authorizer;
     operation_limits m_limits;
     engine m_engine;
     /// Timer that expires after `max_configuration_wait` and is cancelled when a configuration arrives.
--- a/src/cornellever/session/traffic_accounts.ipp
+++ b/src/cornellever/session/traffic_accounts.ipp
@@ -25,7 +25,7 @@
         reason = sql::to_string(why);
         return sql::statement_error{why, opening.database};
     }
-    const auto permission = m_gate.ask(route->second.keyless, opening.key, boot_clock::now());
+    const auto permission = m_authorizer.authorize(route->second.keyless, opening.key, boot_clock::now());
     if (permission.verdict == accounts::permission::unknown_key) {
         reason = to_string(permission.verdict);
         return sql::statement_error{sql::refusal::unknown_key, "the key is not known"};
@@ -67,7 +67,7 @@
     if (route == m_config.routes.end()) {
         return std::nullopt;
     }
-    const auto permission = m_gate.ask(route->second.keyless, active.state.key, boot_clock::now());
+    const auto permission = m_authorizer.authorize(route->second.keyless, active.state.key, boot_clock::now());
     if (permission.verdict != accounts::permission::unknown_key) {
         return std::nullopt;
     }
@@ -114,23 +114,23 @@
     if (!m_limits.admit || route == m_config.routes.end()) {
         co_return std::nullopt;
     }
-    const auto permission = m_gate.ask(route->second.keyless, active.state.key, boot_clock::now());
-    if (permission.who == nullptr || !permission.who->limit) {
+    const auto permission = m_authorizer.authorize(route->second.keyless, active.state.key, boot_clock::now());
+    if (permission.matched_account == nullptr || !permission.matched_account->limit) {
         co_return std::nullopt;
     }
-    const auto account = permission.who->name;
-    const auto verdict = co_await m_limits.admit(account, *permission.who->limit);
-    if (verdict.what == limits::admission_result::kind::granted) {
+    const auto account = permission.matched_account->name;
+    const auto admission = co_await m_limits.admit(account, *permission.matched_account->limit);
+    if (admission.outcome == limits::admission_result::kind::granted) {
         co_return std::nullopt;
     }
-    const bool used_up = verdict.what == limits::admission_result::kind::used_up;
+    const bool used_up = admission.outcome == limits::admission_result::kind::used_up;
     ++(used_up ? m_counters.over_limit_refusals : m_counters.unknown_limit_refusals);
     log_event(event::limit_refused, "request=" + request.id + " database=" + active.state.database +
                                         " account=" + account + " reason=" + (used_up ? "used_up" : "no_coordinator") +
-                                        " asked=" + std::to_string(verdict.asked) +
-                                        " wait_ms=" + std::to_string(verdict.wait.count()));
+                                        " asked=" + std::to_string(admission.asked) +
+                                        " wait_ms=" + std::to_string(admission.wait.count()));
     co_return refused_for_now(used_up ? "the account's limit is used up" : "the account's limit is not known",
-                              verdict.wait);
+                              admission.wait);
 }
 
 /// Returns the number by which sessions are spread over the connection owners (the proxies that hold connections to a
@@ -138,8 +138,8 @@
 /// concentrated at few owners and an idle connection more often belongs to the account that needs one.
 template <routing::link_connector Connector>
 std::uint64_t traffic<Connector>::spreading_key(const active_session& active) const {
-    const auto* who = m_gate.accounts().find_by_key(active.state.key);
-    return who == nullptr ? active.state.id : stable_hash({who->name});
+    const auto* account = m_authorizer.accounts().find_by_key(active.state.key);
+    return account == nullptr ? active.state.id : stable_hash({account->name});
 }
 
 } // namespace cornellever::session
--- a/tests/unit/fake_caller.hpp
+++ b/tests/unit/fake_caller.hpp
@@ -20,7 +20,7 @@
     std::vector<sql::statement_error> refusals{};
     /// Number of events delivered.
     std::size_t taken{0};
-    bool welcomed{false};
+    bool accepted{false};
     bool closed{false};
 };
 
@@ -47,7 +47,7 @@
         }
         co_return out;
     }
-    void welcome() { m_script->welcomed = true; }
+    void accept() { m_script->accepted = true; }
     void send(const sql::reply& answer) { m_script->answers.push_back(answer); }
     void refuse(const sql::statement_error& error) { m_script->refusals.push_back(error); }
     bool close_if_no_input() {
@@ -67,8 +67,8 @@
     return session::session_opening{std::move(database)};
 }
 
-[[nodiscard]] inline session::caller_event ask(std::string id, sql::statement_kind kind, std::string text = {},
-                                               std::string name = {}) {
+[[nodiscard]] inline session::caller_event request(std::string id, sql::statement_kind kind, std::string text = {},
+                                                   std::string name = {}) {
     return sql::request{std::move(id), {.kind = kind, .name = std::move(name), .text = std::move(text)}};
 }
 
