--- a/src/cornellever/cluster/control.ipp
+++ b/src/cornellever/cluster/control.ipp
@@ -97,13 +97,14 @@
     m_leaving = true;
     const auto removed = co_await m_store.remove(std::string{proxies_table}, m_settings.name);
     if (!removed) {
-        // The other proxies remove a silent proxy by themselves after a while.
+        // The shutdown continues: the other proxies also remove a proxy that leaves their questions
+        // unanswered.
         log_event(event::store_lost, "table=proxies reason=\"" + removed.error().message + "\"");
     }
 }
 
-/// Logs one line for all of them: when many proxies start together, each would otherwise log a line
-/// for every other one.
+/// Logs one line for all names: when many proxies start together, each proxy would otherwise log a
+/// line for every other proxy.
 template <metadata_store Store, promotion_orders Orders, routing::link_connector Connector>
 void control<Store, Orders, Connector>::log_members(event what, const std::vector<std::string>& names,
                                                     std::string_view suffix) {
--- a/src/cornellever/cluster/primary_judge.cpp
+++ b/src/cornellever/cluster/primary_judge.cpp
@@ -8,24 +8,31 @@
 
 using std::chrono::milliseconds;
 
-/// A refusal means that the VM itself answered that no process listens. The short wait is for the
-/// case that a connection's end arrives before the refusal.
+/// How long ago an unreachable primary must have last replied to count as down if its VM refused a
+/// connection because no process listens on the port. The wait covers the case that an existing
+/// connection is closed before the refusal arrives. The wait can be short because the refusal shows
+/// that the VM itself can be reached.
 constexpr milliseconds refused_timeout{150};
 
-/// Silence may also be a lost packet, which TCP retransmits after 200 ms, or a pause of this
-/// proxy's own VM.
+/// How long ago an unreachable primary must have last replied to count as down if its VM has not
+/// refused a connection. A missing reply may also be caused by a lost packet, which TCP retransmits
+/// after 200 ms, or by a pause of the VM on which this proxy runs.
 constexpr milliseconds silence_timeout{500};
 
-/// A peer that got an answer from the primary within this time still reaches it: proxies query an
-/// otherwise idle primary five times a second.
+/// A proxy counts as reaching the primary if the primary replied to the proxy within this time.
+/// The time covers two of the queries that proxies send an otherwise idle primary five times a
+/// second.
 constexpr milliseconds recent_answer{450};
 
-/// A proxy without any live peer cannot tell whether it is cut off itself, and lets others act
-/// first, which would observe the same.
+/// How long a proxy waits before it treats an unreachable primary as lost if the proxy knows other
+/// proxies but has no report on the primary from a live one. Such a proxy may itself be cut off from
+/// the network. The wait lets the other proxies, which would also observe a real failure, act first.
 constexpr milliseconds isolated_timeout{2500};
 
-/// A server misses three heartbeats before its entry disappears. After an outage of the store
-/// itself, entries are back within 2 s.
+/// How long a primary's registry entry must be missing before the primary is replaced. If the
+/// primary is also unreachable, a short time is enough, because the server missed three heartbeats
+/// before its entry disappeared. Otherwise the time is longer than the 2 s within which entries are
+/// back after an outage of the store itself.
 constexpr milliseconds missing_and_unreachable{300};
 constexpr milliseconds missing_limit{2600};
 
--- a/src/cornellever/core/event.hpp
+++ b/src/cornellever/core/event.hpp
@@ -8,7 +8,8 @@
 enum class severity { debug, info, warning, error };
 
 /// All events that are logged. The numbers are stable and identify the events in
-/// docs/EVENTS.md; new events are added at the end of their block.
+/// docs/EVENTS.md. A new event is added at the end of the block of related
+/// events.
 enum class event : std::uint16_t {
     // Processes and RPC.
     process_started = 1001,
@@ -23,13 +24,13 @@
     settings_reloaded = 1104,
     registry_loaded = 1105,
     registration_refused = 1106,
-    /// A change of a followed table could not be processed.
+    /// A change in a table of the metadata store could not be processed.
     table_not_taken = 1107,
     store_lost = 1110,
     store_regained = 1111,
     /// The metadata store was restored from an older copy.
     store_returned = 1112,
-    /// The store holds an older configuration than the one in use.
+    /// The metadata store holds an older configuration than the proxy uses.
     stored_config_older = 1113,
     // Backend servers, primaries, failover and cluster membership.
     instance_up = 1201,
@@ -39,7 +40,7 @@
     failover_given_up = 1205,
     primary_found = 1206,
     primary_lost = 1207,
-    /// The assessment of a primary's health has changed.
+    /// The proxy's assessment of a primary's health has changed.
     primary_judged = 1208,
     promotion_step = 1209,
     member_joined = 1210,
@@ -51,13 +52,16 @@
     // Connection pools, sessions, requests and logging.
     pool_exhausted = 1301,
     connection_broken = 1302,
-    /// An open transaction was dropped because its caller was gone or idle too long.
+    /// An open transaction was dropped because its caller (a client application)
+    /// had disconnected or was idle for too long.
     transaction_abandoned = 1303,
     /// A replica did not serve a read; another server is tried.
     replica_fallback = 1304,
-    /// The idle connections to a server were closed because they may be broken.
+    /// All idle connections to a server were closed because the connections may
+    /// be broken.
     connections_suspect = 1305,
-    /// A write was not confirmed, and its outcome could not be determined.
+    /// A server did not confirm a write, and the outcome of the write could not
+    /// be determined.
     write_unconfirmed = 1306,
     request_repeated = 1307,
     connect_failed = 1308,
@@ -67,7 +71,7 @@
     outcome_unknown = 1312,
     transaction_failed = 1313,
     request_served = 1314,
-    /// A server has not answered within its usual time.
+    /// A server has not replied within its usual time.
     answer_overdue = 1315,
     session_relayed = 1316,
     request_forbidden = 1317,
--- a/src/cornellever/limits/udp_grant_channel.cpp
+++ b/src/cornellever/limits/udp_grant_channel.cpp
@@ -14,14 +14,15 @@
     if (ec) {
         return fail(errc::unavailable, "cannot bind the address for limits: " + ec.message());
     }
-    // Nonces differ from those of the previous process, whose late responses must not match requests of this one.
+    // Nonces start at a random value so that they differ from those of the previous process. Otherwise a late response
+    // to the previous process could be taken for the response to a request of this one.
     m_last_nonce = std::uint64_t{std::random_device{}()} << 32U;
     asio::co_spawn(m_executor, receive(), asio::detached);
     return {};
 }
 
-asio::awaitable<std::optional<grant_response>> udp_grant_channel::ask(asio::ip::udp::endpoint to, std::string account,
-                                                                      boot_clock::time_point until) {
+asio::awaitable<std::optional<grant_response>>
+udp_grant_channel::request_grant(asio::ip::udp::endpoint to, std::string account, boot_clock::time_point until) {
     pending_request own{asio::steady_timer{m_executor}};
     const auto nonce = ++m_last_nonce;
     m_pending.emplace(nonce, &own);
--- a/src/cornellever/routing/service_pool_queue.ipp
+++ b/src/cornellever/routing/service_pool_queue.ipp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The wait queue and the expected waiting times of its requests.
+// The wait queue for connections, and the expected waiting times of the queued requests.
 
 namespace cornellever::routing {
 
@@ -37,28 +37,27 @@
     next.timer.cancel();
 }
 
-/// Grants idle connections of a server to queued requests, within this proxy's
-/// share of the server's concurrency.
+/// Grants idle connections of a server to queued requests, as long as this proxy runs no more statements on the server
+/// than it may (see `max_concurrency`).
 template <link_connector Connector>
 void service_pool<Connector>::serve_queue(entry& at) {
     const auto now = boot_clock::now();
     auto& items = m_wait_queue.items();
-    for (auto place = items.begin(); place != items.end();) {
+    for (auto it = items.begin(); it != items.end();) {
         if (at.retired || at.active_count() >= max_concurrency(at)) {
             return;
         }
-        waiter& next = **place;
-        ++place;
+        waiter& next = **it;
+        ++it;
         if (eligible(next.request, at, now) && try_serve(at, next)) {
             m_wait_queue.dequeue(next);
         }
     }
 }
 
-/// Replaces connections whose answer is overdue until that answer arrives or times
-/// out. The replacements use the part of the server's connection limit that is
-/// reserved for connections of dead processes, and at most double the number of
-/// connections.
+/// Opens replacements for connections whose reply is overdue. The replacements are kept until the overdue replies
+/// arrive or time out. They use the fraction of the server's connection limit that is reserved for connections of dead
+/// processes, and at most double the number of connections.
 template <link_connector Connector>
 void service_pool<Connector>::replace_overdue(entry& at, time_point now) {
     if (!at.mark_overdue(now)) {
@@ -82,16 +81,16 @@
     serve_queue(*held.server_entry);
 }
 
-/// The servers eligible for a request, by their index in `m_entries`.
+/// Returns the servers eligible for a request, as bits whose index is the server's index in `m_entries`.
 template <link_connector Connector>
 server_set service_pool<Connector>::servers_for(const connection_request& request, time_point now) const {
     server_set out = 0;
-    std::size_t place = 0;
+    std::size_t index = 0;
     for (const auto& [id, at] : m_entries) {
-        if (place < std::numeric_limits<server_set>::digits && eligible(request, *at, now)) {
-            out |= server_set{1} << place;
+        if (index < std::numeric_limits<server_set>::digits && eligible(request, *at, now)) {
+            out |= server_set{1} << index;
         }
-        ++place;
+        ++index;
     }
     return out;
 }
@@ -101,8 +100,9 @@
     std::vector<server_capacity> out;
     out.reserve(m_entries.size());
     for (const auto& [id, at] : m_entries) {
-        // With account connections, any idle one can be replaced by one of another
-        // account within the time of a handshake.
+        // If connections belong to accounts, the pool opens a connection for the account of a waiting request and
+        // replaces an idle connection of another account if necessary. This takes only a handshake, so the capacity is
+        // limited by the whole budget and not by the number of connections that are open now.
         const auto connections =
             m_account_traffic && !at->open_connections.empty() ? m_budget : at->open_connections.size();
         out.push_back({std::min(max_concurrency(*at), connections),
@@ -131,14 +131,13 @@
         return out;
     }
     const auto queue = queue_snapshot(now);
-    const auto place = m_wait_queue.queue_position(request.priority, now + max_wait(out, limits));
-    out.requests_ahead = count_competing(std::span{queue}.first(place), eligible_servers);
+    const auto queue_index = m_wait_queue.queue_position(request.priority, now + max_wait(out, limits));
+    out.requests_ahead = count_competing(std::span{queue}.first(queue_index), eligible_servers);
     return out;
 }
 
-/// Rejects queued requests that are no longer expected to be served in time
-/// because `by` was queued ahead of them, so that their callers can still use the
-/// remaining time.
+/// Rejects queued requests that are no longer expected to be served in time because `by` was queued ahead of them.
+/// Their callers (client applications) can then still use the remaining time.
 template <link_connector Connector>
 void service_pool<Connector>::reject_overtaken(const waiter& by) {
     const auto& items = m_wait_queue.items();
@@ -150,8 +149,8 @@
     const auto now = boot_clock::now();
     const auto queue = queue_snapshot(now);
     std::vector<waiter*> late;
-    for (const auto place : too_late(server_capacities(now), queue, first, now)) {
-        late.push_back(*std::next(items.begin(), static_cast<std::ptrdiff_t>(place)));
+    for (const auto index : too_late(server_capacities(now), queue, first, now)) {
+        late.push_back(*std::next(items.begin(), static_cast<std::ptrdiff_t>(index)));
     }
     for (auto* item : late) {
         m_wait_queue.dequeue(*item);
